--- a/src/pondtiller/daemon/tests/test_caller_api.py
+++ b/src/pondtiller/daemon/tests/test_caller_api.py
@@ -84,7 +84,7 @@
     body = {"model": "quote", "prompt": "list book 17", "max_tokens": 16}
 
     def started():
-        return sum(server.model.counts.accepted for server in service.emulator.engines.values())
+        return sum(server.model.accepted for server in service.emulator.engines.values())
 
     before = started()
     for number in range(3):
--- a/src/pondtiller/demo/run.py
+++ b/src/pondtiller/demo/run.py
@@ -28,7 +28,6 @@
 HOST = "127.0.0.1"
 READY_SECONDS = 20.0
 READY_CHECK_SECONDS = 0.05
-STOP_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/emulator/engine.py
+++ b/src/pondtiller/emulator/engine.py
@@ -113,17 +113,6 @@
     done_at: float
 
 
-@dataclass(slots=True)
-class EngineCounts:
-    """What an engine did since it started."""
-
-    accepted: int = 0
-    tokens: int = 0
-    cache_hits: int = 0
-    preemptions: int = 0
-    busy_seconds: float = 0.0
-
-
 Observer = Callable[[EngineRequest, float], None]
 VersionMap = dict[str, int]
 
@@ -146,7 +135,7 @@
     broken: bool = False
     swap_failure: float = 0.0
     versions: VersionMap = field(default_factory=dict)
-    counts: EngineCounts = field(default_factory=EngineCounts)
+    accepted: int = 0
     observe_start: Observer | None = None
     _prefetched: VersionMap = field(default_factory=dict)
     _highest_fence: int = 0
@@ -168,7 +157,7 @@
         if refusal is not None:
             return refusal
         self._arrivals += 1
-        self.counts.accepted += 1
+        self.accepted += 1
         if self.observe_start is not None:
             self.observe_start(request, now)
         length = answer_length(request.prompt, request.maximum_tokens)
@@ -295,7 +284,6 @@
         del self._running[victim.request.request_id]
         self._waiting.append(victim)
         self._waiting.sort(key=lambda each: (-each.request.priority, each.arrival))
-        self.counts.preemptions += 1
         return True
 
     def _start(self, work: _Work) -> None:
@@ -310,7 +298,6 @@
         tokens = prompt_tokens(prompt)
         if prefix in self._cache:
             self._cache.move_to_end(prefix)
-            self.counts.cache_hits += 1
             return max(0, tokens - prompt_tokens(prefix))
         self._cache[prefix] = prompt_tokens(prefix)
         self._cache_used += prompt_tokens(prefix)
@@ -328,7 +315,6 @@
         self._step_at = None
         outputs: list[EngineOutput] = []
         if now >= self._paused_until and not self.broken:
-            self.counts.busy_seconds += self._step_length()
             for work in list(self._running.values()):
                 if work.request.request_id in self._in_step:
                     outputs.append(self._generate(work, now))
@@ -343,7 +329,6 @@
         first = work.generated
         work.generated += count
         work.last_sent_at = now
-        self.counts.tokens += count
         finish_reason, whole_digest = "", ""
         if work.generated >= work.length:
             finish_reason = "length" if work.length == request.maximum_tokens else "stop"
--- a/src/pondtiller/emulator/trainer.py
+++ b/src/pondtiller/emulator/trainer.py
@@ -90,7 +90,6 @@
     step: int
     sample: Sample
     trainer_version: int
-    received_at: float
 
 
 @dataclass(slots=True)
@@ -136,7 +135,7 @@
         if self.phase is not Phase.READING or (step, cursor) != (self.step, self.cursor):
             return
         for sample in samples:
-            self.received.append(ReceivedSample(self.step, sample, self.version, now))
+            self.received.append(ReceivedSample(self.step, sample, self.version))
         self.cursor += len(samples)
         if samples:
             self.phase = Phase.ACKNOWLEDGING
--- a/src/pondtiller/httpio/client.py
+++ b/src/pondtiller/httpio/client.py
@@ -32,7 +32,6 @@
 
     def __init__(self, address: Address, stream_socket: Any) -> None:
         self.address = address
-        self.used = False
         self._socket = stream_socket
         self._protocol = h11.Connection(h11.CLIENT)
         self._request: h11.Request | None = None
@@ -90,7 +89,6 @@
         """Return whether another request may be sent; prepares for it."""
         if self._protocol.our_state is h11.DONE and self._protocol.their_state is h11.DONE:
             self._protocol.start_next_cycle()
-            self.used = True
             return True
         return False
 
--- a/src/pondtiller/routes/engines.py
+++ b/src/pondtiller/routes/engines.py
@@ -133,11 +133,6 @@
         """Name of this start of the engine."""
         return self.entry.identifier
 
-    @property
-    def is_leaving(self) -> bool:
-        """Whether it says that it leaves."""
-        return self.entry.state is EngineState.LEAVING
-
     @property
     def place(self) -> str:
         """Where it is reached; another start at the same place may be another engine."""
--- a/src/pondtiller/routes/tests/test_sheet_rows.py
+++ b/src/pondtiller/routes/tests/test_sheet_rows.py
@@ -7,9 +7,10 @@
 from result import Ok
 
 from pondtiller.gateway.tests.system import System, run_system
-from pondtiller.routes.sheet_rows import routes_of, sheet_of
+from pondtiller.routes.sheet_rows import sheet_of
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable, ServiceRow, ServiceShare
 from pondtiller.routes.tenants import TenantRow, digest_of
+from pondtiller.routes.tests.sheet_reader import routes_of
 from pondtiller.table.csv_format import from_csv, to_csv
 from pondtiller.table.sheet import Row, RowKind
 
--- a/src/pondtiller/simulation/engines.py
+++ b/src/pondtiller/simulation/engines.py
@@ -26,7 +26,6 @@
 from pondtiller.simulation.truth import EngineStart, OrderSeen, TokenRun, Truth
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-ANSWER_TIMEOUT_SECONDS = 10.0
 
 Deliver = Callable[[object], None]
 
--- a/src/pondtiller/systems/attempts.py
+++ b/src/pondtiller/systems/attempts.py
@@ -12,8 +12,6 @@
 from pondtiller.systems import lifecycle
 from pondtiller.systems.peers import note_leaving
 
-REFUSED_RETRY_SECONDS = 0.05
-
 
 def run(world: World, now: float) -> None:
     """Take what engines sent, and give up attempts that fell silent."""
