--- a/src/pondtiller/cli/application.py
+++ b/src/pondtiller/cli/application.py
@@ -6,9 +6,7 @@
 from pondtiller.cli.demo import DemoCommand
 from pondtiller.cli.deployed import GatewayCommand, ReplicaCommand
 from pondtiller.cli.emulate import EmulateCommand
-from pondtiller.cli.experiment import ExperimentCommand
 from pondtiller.cli.explain import ExplainCommand
-from pondtiller.cli.load import LoadCommand
 from pondtiller.cli.serve import ServeCommand
 from pondtiller.cli.simulate import SimulateCommand
 from pondtiller.cli.soak import SoakCommand
@@ -40,8 +38,6 @@
         DemoCommand(),
         SimulateCommand(),
         SoakCommand(),
-        LoadCommand(),
-        ExperimentCommand(),
         TableShowCommand(),
         TableStatusCommand(),
         TableSetCommand(),
--- a/src/pondtiller/cli/tests/test_processes.py
+++ b/src/pondtiller/cli/tests/test_processes.py
@@ -1,14 +1,19 @@
 """The commands as separate processes: stand-ins, three daemons, operators, load."""
 
+import random
 import re
 import signal
 import subprocess
 import sys
 import time
 
+import curio
 import httpx2 as httpx
 import pytest
 
+from pondtiller.config.deployment import Traffic
+from pondtiller.core.entities import Address
+from pondtiller.demo.load import LiveLoad
 from pondtiller.emulator.text import expected_answer
 from pondtiller.soak.ports import ReservedPorts
 
@@ -148,11 +153,16 @@
     assert "'weight' is missing" in run("table", "apply", str(path), "--platform", platform, code=2)
 
 
-def test_load_reports_only_right_answers(daemons):
+def test_open_loop_load_gets_only_right_answers(daemons):
     urls, _, _ = daemons
-    place = urls[0].removeprefix("http://")
-    said = run("load", "--url", place, "--rate", "30", "--seconds", "2", "--max-tokens", "8")
-    assert "wrong 0" in said
+    host, _, port = urls[0].removeprefix("http://").rpartition(":")
+    traffic = Traffic(service="quote", caller="estimator", requests_a_second=30.0, maximum_tokens=8)
+    load = LiveLoad([Address(host, int(port))], {}, random.Random())
+    curio.run(load.run, (traffic,), 2.0)
+    answered = [each.answered() for each in load.result.requests]
+    assert any(answered)
+    for request, answer in zip(load.result.requests, answered, strict=True):
+        assert answer is None or answer.text == expected_answer(request.prompt, 8)
 
 
 def test_killed_daemon_comes_back_with_its_journal(daemons, platform):
--- a/src/pondtiller/core/world.py
+++ b/src/pondtiller/core/world.py
@@ -31,7 +31,6 @@
 )
 from pondtiller.core.instructions import EngineOrder, Instruction, LogEvent, LogField, WriteStore
 from pondtiller.core.reports import DaemonReport
-from pondtiller.core.routing_policy import RoutingPolicy
 from pondtiller.table.sheet import Row, Sheet
 
 EventType = TypeVar("EventType")
@@ -113,7 +112,6 @@
     shard_count: int = 4
     replica_count: int = 5
     mechanisms: Mechanisms = field(default_factory=Mechanisms)
-    routing_policy: RoutingPolicy = RoutingPolicy.FAIR_TWO_CHOICES
 
 
 class Batch:
--- a/src/pondtiller/simulation/cluster_settings.py
+++ b/src/pondtiller/simulation/cluster_settings.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pondtiller.core.routing_policy import RoutingPolicy
 from pondtiller.core.world import Mechanisms
 
 
@@ -32,4 +31,3 @@
     count_bytes: bool = False
     processor_clock: Callable[[], float] | None = None
     shard_count: int = 4
-    routing_policy: RoutingPolicy = RoutingPolicy.FAIR_TWO_CHOICES
--- a/src/pondtiller/simulation/daemon.py
+++ b/src/pondtiller/simulation/daemon.py
@@ -70,15 +70,6 @@
     ticks: int = 0
     busy_seconds: float = 0.0
 
-    def minus(self, earlier: "ControlCosts") -> "ControlCosts":
-        """Return what was spent since an earlier copy."""
-        return ControlCosts(
-            self.messages - earlier.messages,
-            self.bytes_sent - earlier.bytes_sent,
-            self.ticks - earlier.ticks,
-            self.busy_seconds - earlier.busy_seconds,
-        )
-
 
 @dataclass(slots=True)
 class Surroundings:
@@ -147,7 +138,6 @@
             seeds=tuple(self._seeds),
             shard_count=self._settings.shard_count,
             mechanisms=self._settings.mechanisms,
-            routing_policy=self._settings.routing_policy,
         )
         self.world = World(settings, random.Random(self._source.getrandbits(64)))
         self._run()
--- a/src/pondtiller/simulation/measures.py
+++ b/src/pondtiller/simulation/measures.py
@@ -4,7 +4,6 @@
 
 from pydantic import BaseModel, ConfigDict
 
-from pondtiller.simulation.bounds import live_cost_bound, trainer_idle_bound
 from pondtiller.simulation.checks import oldest_made
 from pondtiller.simulation.cluster import Cluster
 from pondtiller.simulation.truth import CallerRequest, Truth
@@ -19,7 +18,6 @@
     trainer: str
     steps: int
     idle_seconds_a_step: float
-    idle_bound_a_step: float
     longest_step_seconds: float
     mean_staleness: float
     largest_staleness: int
@@ -46,7 +44,6 @@
     trainers: tuple[TrainerMeasures, ...]
     callers: tuple[CallerMeasures, ...]
     cost_by_worth: float
-    cost_bound: float
     attempts_a_request: float
     table_median_seconds: float
     table_worst_seconds: float
@@ -66,7 +63,6 @@
         trainers=tuple(_trainer(cluster, node.model.settings.name) for node in cluster.trainers),
         callers=tuple(_caller(truth, name) for name in _caller_names(truth)),
         cost_by_worth=round(_cost(truth), 4),
-        cost_bound=round(live_cost_bound(cluster.deployment, truth.callers), 4),
         attempts_a_request=round(_attempts(truth), 4),
         table_median_seconds=round(quantile(delays, 0.5), 3),
         table_worst_seconds=round(quantile(delays, 1.0), 3),
@@ -90,7 +86,6 @@
         trainer=name,
         steps=model.steps_done,
         idle_seconds_a_step=round(statistics.fmean(steps), 3) if steps else 0.0,
-        idle_bound_a_step=round(trainer_idle_bound(cluster.deployment, name, len(steps)), 3),
         longest_step_seconds=round(max(steps, default=0.0), 3),
         mean_staleness=round(statistics.fmean(staleness), 4) if staleness else 0.0,
         largest_staleness=max(staleness, default=0),
--- a/src/pondtiller/simulation/run.py
+++ b/src/pondtiller/simulation/run.py
@@ -5,7 +5,6 @@
 from pydantic import BaseModel, ConfigDict
 
 from pondtiller.config.deployment import Deployment
-from pondtiller.core.routing_policy import RoutingPolicy
 from pondtiller.core.world import Mechanisms
 from pondtiller.simulation.checks import CheckSettings, Property, Violation, check_all
 from pondtiller.simulation.cluster import Cluster
@@ -34,7 +33,6 @@
     seed: int
     seconds: float = 180.0
     count_bytes: bool = False
-    routing_policy: RoutingPolicy = RoutingPolicy.FAIR_TWO_CHOICES
 
 
 class FoundViolation(BaseModel):
@@ -71,7 +69,6 @@
             seed=settings.seed,
             mechanisms=mechanisms or Mechanisms(),
             count_bytes=settings.count_bytes,
-            routing_policy=settings.routing_policy,
         ),
     )
     return run_faults(cluster, settings, faults)
--- a/src/pondtiller/simulation/tests/test_growth.py
+++ b/src/pondtiller/simulation/tests/test_growth.py
@@ -8,6 +8,7 @@
 from pondtiller.core.events import VersionPublished
 from pondtiller.simulation.cluster import Cluster
 from pondtiller.simulation.cluster_settings import ClusterSettings
+from pondtiller.simulation.daemon import ControlCosts
 from pondtiller.table.sheet import Row, RowKind
 
 LARGEST_GROWTH = 1.25
@@ -39,6 +40,15 @@
     )
 
 
+def spent_since(before: ControlCosts, now: ControlCosts) -> ControlCosts:
+    return ControlCosts(
+        now.messages - before.messages,
+        now.bytes_sent - before.bytes_sent,
+        now.ticks - before.ticks,
+        now.busy_seconds - before.busy_seconds,
+    )
+
+
 def costs(members: int, engines: int, rows: int, seed: int) -> Costs:
     settings = ClusterSettings(
         seed=seed, with_load=False, count_bytes=True, shard_count=max(4, members // 20)
@@ -49,7 +59,7 @@
     start = [replace(node.costs) for node in cluster.daemons.values()]
     cluster.run_until(SETTLE_SECONDS + REST_SECONDS)
     spent = [
-        node.costs.minus(before)
+        spent_since(before, node.costs)
         for node, before in zip(cluster.daemons.values(), start, strict=True)
     ]
     node = next(iter(cluster.daemons.values()))
--- a/src/pondtiller/systems/dispatch.py
+++ b/src/pondtiller/systems/dispatch.py
@@ -5,7 +5,7 @@
 from pondtiller.core.events import RequestQueued
 from pondtiller.core.instructions import EngineRequest, StartAttempt
 from pondtiller.core.world import PrefixHint, TimerKind, World
-from pondtiller.systems import policies
+from pondtiller.systems.engine_choice import cheaper_of_two, prefix_key
 from pondtiller.systems.fleet import is_usable
 
 RETRY_SECONDS = 0.25
@@ -36,8 +36,7 @@
 
 
 def choose_engine(world: World, request: Request, now: float) -> Engine | None:
-    """Return the engine for a request by the policy in force, or None where none is able."""
-    policy = world.settings.routing_policy
+    """Return the engine for a request, or None where none is able."""
     model = request.spec.model
     is_urgent = request.priority >= constants.URGENT_PRIORITY
     able: list[Engine] = []
@@ -47,13 +46,13 @@
             continue
         if engine.versions.get(model, 0) < request.spec.minimum_version:
             continue
-        if not policies.needs_room(policy) or _has_room(engine, is_urgent):
+        if _has_room(engine, is_urgent):
             able.append(engine)
     others = [engine for engine in able if engine.name != request.avoid]
     drawn = others or able
     if not drawn:
         return None
-    return policies.pick(world, policy, request, drawn, now)
+    return cheaper_of_two(world, request, drawn, now)
 
 
 def _has_room(engine: Engine, is_urgent: bool) -> bool:
@@ -111,7 +110,7 @@
         model=spec.model,
         prompt=spec.prompt,
         maximum_tokens=spec.maximum_tokens,
-        priority=policies.engine_priority(world.settings.routing_policy, request),
+        priority=request.priority,
         resume_text=request.text(),
         resume_tokens=request.token_count,
         minimum_version=spec.minimum_version,
@@ -121,4 +120,4 @@
 def _remember_prefix(world: World, request: Request, engine: Engine, now: float) -> None:
     if len(world.prefix_hints) >= KEPT_HINTS:
         world.prefix_hints.clear()
-    world.prefix_hints[policies.prefix_key(request)] = PrefixHint(engine.name, now)
+    world.prefix_hints[prefix_key(request)] = PrefixHint(engine.name, now)
