--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 # Parts of the tests that run beside each other: those of the gateway mostly wait (47 s of processor
 # in 314 s), the other named ones mostly compute. Whatever no part names falls to the last one.
 GATEWAY := src/pondtiller/gateway
-SIMULATION := src/pondtiller/simulation
+SIMULATION := src/pondtiller/serve/simulation
 DECISIONS := src/pondtiller/steplog src/pondtiller/coordination
 TESTS_gateway-a-m := --ignore-glob='$(GATEWAY)/tests/test_[n-z]*' $(GATEWAY)
 TESTS_gateway-n-z := --ignore-glob='$(GATEWAY)/tests/test_[!n-z]*' $(GATEWAY)
--- a/deploy/run.py
+++ b/deploy/run.py
@@ -9,8 +9,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "src"))
 
-from pondtiller.gateway.program import run_gateway, run_replica
 from pondtiller.platform.names import SETTINGS_VARIABLE
+from pondtiller.programs import run_gateway, run_replica
 
 EXIT_BAD_INPUT = 2
 PROGRAMS = {"gateway": run_gateway, "replica": run_replica}
--- a/src/pondtiller/cli/check.py
+++ b/src/pondtiller/cli/check.py
@@ -9,8 +9,8 @@
 
 from pondtiller.cli.common import EXIT_BAD_INPUT, EXIT_OK
 from pondtiller.cli.serve import load_settings
-from pondtiller.config.deployment import Deployment
-from pondtiller.config.problems import Problem, load_toml
+from pondtiller.process.problems import Problem, load_toml
+from pondtiller.serve.deployment import Deployment
 from pondtiller.table.csv_format import from_csv
 
 
--- a/src/pondtiller/cli/common.py
+++ b/src/pondtiller/cli/common.py
@@ -3,8 +3,8 @@
 from cleo.commands.command import Command
 from result import Err, Ok, Result
 
-from pondtiller.config.problems import Problem
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
+from pondtiller.process.problems import Problem
 
 EXIT_OK = 0
 EXIT_VIOLATION = 1
--- a/src/pondtiller/cli/demo.py
+++ b/src/pondtiller/cli/demo.py
@@ -5,6 +5,7 @@
 from cleo.helpers import option
 from result import Err, Ok
 
+from pondtiller.address import Address
 from pondtiller.cli.common import (
     EXIT_OK,
     EXIT_VIOLATION,
@@ -13,12 +14,11 @@
     read_number,
 )
 from pondtiller.cli.table_view import read_view, render_view
-from pondtiller.config.deployment import load_deployment
-from pondtiller.core.entities import Address
-from pondtiller.daemon import logs
-from pondtiller.demo.run import Demo, DemoReport, DemoSettings
 from pondtiller.httpio.client import HttpClient
-from pondtiller.simulation.checks import Property
+from pondtiller.process import logs
+from pondtiller.serve.demo.run import Demo, DemoReport, DemoSettings
+from pondtiller.serve.deployment import load_deployment
+from pondtiller.serve.simulation.checks import Property
 
 
 class DemoCommand(Command):
--- a/src/pondtiller/cli/deployed.py
+++ b/src/pondtiller/cli/deployed.py
@@ -8,9 +8,9 @@
 from cleo.helpers import option
 
 from pondtiller.cli.common import EXIT_OK, print_problems
-from pondtiller.config.problems import Problem
-from pondtiller.gateway.program import run_gateway, run_replica
 from pondtiller.platform.names import SETTINGS_VARIABLE
+from pondtiller.process.problems import Problem
+from pondtiller.programs import run_gateway, run_replica
 
 SETTINGS_OPTION = option(
     "settings", "s", f"Settings file (TOML); default: ${SETTINGS_VARIABLE}.", flag=False
--- a/src/pondtiller/cli/emulate.py
+++ b/src/pondtiller/cli/emulate.py
@@ -8,10 +8,10 @@
 from result import Err, Ok
 
 from pondtiller.cli.common import EXIT_OK, bad_option, print_problems, read_number
-from pondtiller.config.deployment import load_deployment
-from pondtiller.daemon import logs
-from pondtiller.daemon.signals import wait_for_stop
-from pondtiller.emulator.server import Emulator, build_emulator
+from pondtiller.process import logs
+from pondtiller.process.signals import wait_for_stop
+from pondtiller.serve.deployment import load_deployment
+from pondtiller.serve.emulator.server import Emulator, build_emulator
 
 HOST = "127.0.0.1"
 
--- a/src/pondtiller/cli/explain.py
+++ b/src/pondtiller/cli/explain.py
@@ -10,7 +10,7 @@
 from cleo.helpers import argument
 
 from pondtiller.cli.common import EXIT_BAD_INPUT, EXIT_OK, EXIT_VIOLATION, print_problems
-from pondtiller.config.problems import Problem
+from pondtiller.process.problems import Problem
 
 FIELD = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
 TIME = re.compile(r"(?:^|\s)t=(\d+\.\d+)\s")
--- a/src/pondtiller/cli/serve.py
+++ b/src/pondtiller/cli/serve.py
@@ -11,11 +11,11 @@
 from result import Err, Ok, Result
 
 from pondtiller.cli.common import EXIT_BAD_INPUT, EXIT_OK, print_problems
-from pondtiller.config.problems import Problem
-from pondtiller.daemon import logs
-from pondtiller.daemon.process import DaemonProcess
-from pondtiller.daemon.settings import DaemonSettings
-from pondtiller.daemon.signals import wait_for_stop
+from pondtiller.process import logs
+from pondtiller.process.problems import Problem
+from pondtiller.process.signals import wait_for_stop
+from pondtiller.serve.daemon.process import DaemonProcess
+from pondtiller.serve.daemon.settings import DaemonSettings
 
 OVERRIDES = ("name", "zone", "host", "peer-port", "http-port", "data-folder", "log-level")
 
--- a/src/pondtiller/cli/simulate.py
+++ b/src/pondtiller/cli/simulate.py
@@ -11,10 +11,10 @@
     print_problems,
     read_number,
 )
-from pondtiller.config.deployment import Deployment, load_deployment
-from pondtiller.config.problems import Problem
-from pondtiller.simulation.run import RunReport, RunSettings, run_scenario
-from pondtiller.simulation.scenarios import SCENARIOS
+from pondtiller.process.problems import Problem
+from pondtiller.serve.deployment import Deployment, load_deployment
+from pondtiller.serve.simulation.run import RunReport, RunSettings, run_scenario
+from pondtiller.serve.simulation.scenarios import SCENARIOS
 
 MOST_SEEDS = 100_000
 
--- a/src/pondtiller/cli/table.py
+++ b/src/pondtiller/cli/table.py
@@ -12,6 +12,7 @@
 from pydantic import ValidationError
 from result import Err, Ok
 
+from pondtiller.address import Address
 from pondtiller.cli.common import (
     EXIT_BAD_INPUT,
     EXIT_OK,
@@ -30,12 +31,11 @@
     read_view,
     render_view,
 )
-from pondtiller.config.problems import Problem
-from pondtiller.core.entities import Address
-from pondtiller.core.events import StoreWriteResult
-from pondtiller.daemon import clock
-from pondtiller.daemon.platform_client import put_object
 from pondtiller.httpio.client import HttpClient
+from pondtiller.process import clock
+from pondtiller.process.problems import Problem
+from pondtiller.serve.core.events import StoreWriteResult
+from pondtiller.serve.daemon.platform_client import put_object
 from pondtiller.table.csv_format import from_csv, to_csv
 from pondtiller.table.editor import EditOutcome, EditStatus, ReadTable, TableEditor
 from pondtiller.table.edits import difference
--- a/src/pondtiller/cli/table_evacuate.py
+++ b/src/pondtiller/cli/table_evacuate.py
@@ -5,6 +5,7 @@
 from cleo.helpers import argument, option
 from result import Err
 
+from pondtiller.address import Address
 from pondtiller.cli.common import (
     EXIT_OK,
     EXIT_UNAVAILABLE,
@@ -12,11 +13,10 @@
     print_problems,
     read_address,
 )
-from pondtiller.config.problems import Problem
-from pondtiller.core.entities import Address
 from pondtiller.httpio.client import HttpClient
 from pondtiller.platform import names
 from pondtiller.platform.object_client import ObjectClient, PutOutcome, StoreCallError
+from pondtiller.process.problems import Problem
 
 AS_WANTED = {True: PutOutcome.MISSING, False: PutOutcome.CONFLICT}
 """What a call that changes nothing comes to, by whether it ends an evacuation."""
--- a/src/pondtiller/cli/table_key.py
+++ b/src/pondtiller/cli/table_key.py
@@ -7,11 +7,11 @@
 from pydantic import ValidationError
 from result import Err, Ok, Result
 
+from pondtiller.address import Address
 from pondtiller.cli.common import EXIT_OK, print_problems
 from pondtiller.cli.table import TableCommand, platform_option
-from pondtiller.config.problems import Problem
-from pondtiller.core.entities import Address
 from pondtiller.hashing import DIGEST_SHOWN
+from pondtiller.process.problems import Problem
 from pondtiller.routes.tenants import digest_of
 from pondtiller.table.sheet import CellChange, RowKind, cell_text, explain
 
--- a/src/pondtiller/cli/table_view.py
+++ b/src/pondtiller/cli/table_view.py
@@ -5,13 +5,13 @@
 from pydantic import ValidationError
 from result import Err, Ok
 
-from pondtiller.core.constants import STATUS_DOCUMENT_PREFIX
-from pondtiller.core.entities import Address
-from pondtiller.core.events import StoredObject
-from pondtiller.daemon import clock
-from pondtiller.daemon.platform_client import ListBody, to_stored
+from pondtiller.address import Address
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
-from pondtiller.systems.status import ZoneRow, ZoneStatus, add_rows
+from pondtiller.process import clock
+from pondtiller.serve.core.constants import STATUS_DOCUMENT_PREFIX
+from pondtiller.serve.core.events import StoredObject
+from pondtiller.serve.daemon.platform_client import ListBody, to_stored
+from pondtiller.serve.systems.status import ZoneRow, ZoneStatus, add_rows
 from pondtiller.table.sheet import COLUMNS, DOCUMENT_NAME, Row, Sheet, parse, shown_text
 
 
--- a/src/pondtiller/cli/tests/test_processes.py
+++ b/src/pondtiller/cli/tests/test_processes.py
@@ -11,10 +11,10 @@
 import httpx2 as httpx
 import pytest
 
-from pondtiller.config.deployment import Traffic
-from pondtiller.core.entities import Address
-from pondtiller.demo.load import LiveLoad
-from pondtiller.emulator.text import expected_answer
+from pondtiller.address import Address
+from pondtiller.serve.demo.load import LiveLoad
+from pondtiller.serve.deployment import Traffic
+from pondtiller.serve.emulator.text import expected_answer
 from pondtiller.soak.ports import ReservedPorts
 
 COMMAND = [sys.executable, "-c", "from pondtiller.cli.application import main; main()"]
--- a/src/pondtiller/cli/tests/test_table_evacuate.py
+++ b/src/pondtiller/cli/tests/test_table_evacuate.py
@@ -3,9 +3,9 @@
 import curio
 from cleo.testers.command_tester import CommandTester
 
+from pondtiller.address import Address
 from pondtiller.cli.application import build
 from pondtiller.cli.table_evacuate import change
-from pondtiller.core.entities import Address
 from pondtiller.platform.object_client import PutOutcome
 from pondtiller.platform.standins import StandInStore
 
--- /dev/null
+++ b/src/pondtiller/gateway/callers/__init__.py
@@ -0,0 +1,1 @@
+"""Callers' requests at a gateway: admission, choice of an engine, attempts, answers."""
--- a/src/pondtiller/gateway/forward.py
+++ b/src/pondtiller/gateway/callers/forward.py
@@ -4,25 +4,25 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
 from pondtiller.errors import ErrorKind, Failure, Ran
-from pondtiller.gateway.cold_sends import ColdSends
-from pondtiller.gateway.engine_ends import EngineEnds
-from pondtiller.gateway.engine_pool import (
+from pondtiller.gateway.callers.race import ForwardedRequest, Race
+from pondtiller.gateway.callers.tries import Attempt, Tries, WholeAnswer
+from pondtiller.gateway.callers.waiting import LOOK_AGAIN_SECONDS, WaitingLine, WaitingLines
+from pondtiller.gateway.engines.cold_sends import ColdSends
+from pondtiller.gateway.engines.engine_ends import EngineEnds
+from pondtiller.gateway.engines.engine_pool import (
     AnswerHead,
     EngineConnection,
     EnginePool,
     HeldBackError,
     SilentEngineError,
 )
+from pondtiller.gateway.engines.suspects import SuspectContents
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.race import ForwardedRequest, Race
-from pondtiller.gateway.suspects import SuspectContents
-from pondtiller.gateway.tries import Attempt, Tries, WholeAnswer
-from pondtiller.gateway.waiting import LOOK_AGAIN_SECONDS, WaitingLine, WaitingLines
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.httpio.client import BrokenError, NotSentError
 from pondtiller.platform import engine_format
+from pondtiller.process import clock, logs
 from pondtiller.routes.answer_times import AnswerTimes, SmoothedTime
 from pondtiller.routes.engines import Engine, EngineDirectory
 from pondtiller.routes.live_queue import LiveQueue, Pace, Ticket, may_get, pace_of
--- a/src/pondtiller/gateway/front.py
+++ b/src/pondtiller/gateway/callers/front.py
@@ -6,20 +6,20 @@
 import h11
 from result import Err, Ok, Result
 
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.race import run_until
 from pondtiller.errors import ErrorKind, Failure, Ran
-from pondtiller.gateway.forward import Forwarder, is_streamed
+from pondtiller.gateway.callers.forward import Forwarder, is_streamed
+from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.streams import StreamForwarder
+from pondtiller.gateway.callers.tenant_rates import TenantRates
+from pondtiller.gateway.callers.tries import WholeAnswer
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.race import ForwardedRequest
-from pondtiller.gateway.step_client import StepClient
-from pondtiller.gateway.streams import StreamForwarder
-from pondtiller.gateway.tenant_rates import TenantRates
-from pondtiller.gateway.tries import WholeAnswer
 from pondtiller.hashing import DIGEST_SHOWN, content_digest
 from pondtiller.httpio.messages import HttpRequest, HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange
+from pondtiller.peers.step_client import StepClient
 from pondtiller.platform import engine_format, names, step_format
+from pondtiller.process import clock, logs
+from pondtiller.process.run_until import run_until
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.routes.places import Places
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable
--- a/src/pondtiller/gateway/key_freshness.py
+++ b/src/pondtiller/gateway/callers/key_freshness.py
@@ -6,10 +6,10 @@
 
 from collections.abc import Callable
 
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.settings import Keys
-from pondtiller.gateway.store_watch import WATCH_SECONDS
-from pondtiller.replica.mirror import FRESH_SECONDS
+from pondtiller.process import clock, logs
+from pondtiller.settings import Keys
+from pondtiller.store.mirror import FRESH_SECONDS
+from pondtiller.store.store_watch import WATCH_SECONDS
 
 MARGIN_SECONDS = 0.2
 """For an answer that is on its way while a request is let in."""
--- a/src/pondtiller/gateway/race.py
+++ b/src/pondtiller/gateway/callers/race.py
@@ -5,9 +5,9 @@
 
 import curio
 
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.gateway.tries import Tries
+from pondtiller.gateway.callers.tries import Tries
 from pondtiller.platform.engine_format import Headers
+from pondtiller.process.spawner import Spawner
 from pondtiller.routes.table import RouteRow
 from pondtiller.usage.meter import Beginning
 
--- a/src/pondtiller/gateway/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -2,23 +2,23 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
 from pondtiller.errors import ErrorKind, Failure
-from pondtiller.gateway.engine_pool import (
+from pondtiller.gateway.callers.forward import Forwarder
+from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.tries import Tries
+from pondtiller.gateway.engines.engine_pool import (
     AnswerHead,
     EngineConnection,
     EnginePool,
     HeldBackError,
 )
-from pondtiller.gateway.forward import Forwarder
-from pondtiller.gateway.race import ForwardedRequest
-from pondtiller.gateway.tries import Tries
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.httpio.client import BrokenError, NotSentError
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange, failure_response
 from pondtiller.platform import engine_format
 from pondtiller.platform.engine_format import EventReader
+from pondtiller.process import clock, logs
 from pondtiller.routes.engines import Engine
 from pondtiller.routes.send_gate import SendGate
 from pondtiller.routes.table import RouteRow
--- a/src/pondtiller/gateway/tenant_rates.py
+++ b/src/pondtiller/gateway/callers/tenant_rates.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 
 from pondtiller.coordination.rate_shares import HeldRate, RateTerms
-from pondtiller.daemon import clock, logs
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.share_asker import ShareAsker
+from pondtiller.peers.share_asker import ShareAsker
+from pondtiller.process import clock, logs
 from pondtiller.routes.rates import rate_terms, subject_of
 from pondtiller.routes.table import RouteTable
 from pondtiller.routes.tenants import TenantRow
--- a/src/pondtiller/gateway/waiting.py
+++ b/src/pondtiller/gateway/callers/waiting.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from pondtiller.daemon import clock
+from pondtiller.process import clock
 from pondtiller.routes.engines import REFUSAL_PAUSE_SECONDS
 from pondtiller.routes.live_queue import LiveQueue, Ticket
 
--- a/src/pondtiller/gateway/cold_sends.py
+++ b/src/pondtiller/gateway/engines/cold_sends.py
@@ -1,9 +1,9 @@
 """Holds requests back from cold engines, beyond what this daemon's shares allow."""
 
 from pondtiller.coordination.rate_shares import RateTerms
-from pondtiller.daemon import clock, logs
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.share_asker import ShareAsker
+from pondtiller.peers.share_asker import ShareAsker
+from pondtiller.process import clock, logs
 from pondtiller.routes.cold import LEASE_SECONDS, ColdEngines, subject_of
 from pondtiller.routes.engines import Engine
 from pondtiller.routes.send_gate import Held
--- a/src/pondtiller/gateway/engine_ends.py
+++ b/src/pondtiller/gateway/engines/engine_ends.py
@@ -8,13 +8,13 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.engine_pool import EngineConnection, EnginePool
+from pondtiller.address import Address
+from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool
+from pondtiller.gateway.engines.suspects import SuspectContents
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.suspects import SuspectContents
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.httpio.client import NotSentError
+from pondtiller.process import clock, logs
 from pondtiller.routes.engines import EngineDirectory
 
 ASK_SECONDS = 0.15
--- a/src/pondtiller/gateway/engine_pool.py
+++ b/src/pondtiller/gateway/engines/engine_pool.py
@@ -11,12 +11,12 @@
 import curio
 import h11
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
+from pondtiller.address import Address
 from pondtiller.httpio.client import BrokenError, ClientConnection, NotSentError
 from pondtiller.httpio.sockets import tune
 from pondtiller.platform import engine_format
 from pondtiller.platform.engine_format import Headers
+from pondtiller.process import clock
 from pondtiller.routes.send_gate import Held, SendGate
 
 CONNECT_SECONDS = 0.5
--- a/src/pondtiller/gateway/orders.py
+++ b/src/pondtiller/gateway/engines/orders.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
-from pondtiller.daemon import logs
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 from pondtiller.platform import engine_format, names
 from pondtiller.platform.engine_format import EngineReport
+from pondtiller.process import logs
 from pondtiller.rollouts.versions import OrderVersion
 from pondtiller.routes.engines import EngineDirectory
 
--- a/src/pondtiller/gateway/suspect_sharing.py
+++ b/src/pondtiller/gateway/engines/suspect_sharing.py
@@ -10,15 +10,7 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.store_watch import (
-    LONGEST_RETRY_SECONDS,
-    RETRY_SECONDS,
-    StoreHealth,
-    StoreReader,
-    Watch,
-)
-from pondtiller.gateway.suspects import SuspectContents
+from pondtiller.gateway.engines.suspects import SuspectContents
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.platform import names, objects
 from pondtiller.platform.object_client import (
@@ -27,7 +19,15 @@
     StoreChange,
     StoreObject,
 )
+from pondtiller.process import clock, logs
 from pondtiller.routes.quarantine import Suspect
+from pondtiller.store.store_watch import (
+    LONGEST_RETRY_SECONDS,
+    RETRY_SECONDS,
+    StoreHealth,
+    StoreReader,
+    Watch,
+)
 
 PAUSE_SECONDS = 0.1
 """Between two writes of one gateway: ten a second, of the 400 that the platform's smallest store
--- a/src/pondtiller/gateway/suspects.py
+++ b/src/pondtiller/gateway/engines/suspects.py
@@ -2,10 +2,10 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
 from pondtiller.errors import ErrorKind, Failure, Ran
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.hashing import DIGEST_SHOWN
+from pondtiller.process import clock, logs
 from pondtiller.routes.quarantine import Quarantine, Suspect
 
 TELL_SECONDS = 0.3
--- a/src/pondtiller/gateway/housekeeping.py
+++ b/src/pondtiller/gateway/housekeeping.py
@@ -2,10 +2,10 @@
 
 import curio
 
-from pondtiller.daemon import clock
 from pondtiller.gateway.parts import GatewayParts
 from pondtiller.platform import names
 from pondtiller.platform.object_client import StoreCallError
+from pondtiller.process import clock
 
 HOUSEKEEPING_SECONDS = 0.5
 NO_REPLICA_SECONDS = 2.5
--- /dev/null
+++ b/src/pondtiller/gateway/leader/__init__.py
@@ -0,0 +1,1 @@
+"""What a gateway does while it leads: its terms, its log, its duties."""
--- a/src/pondtiller/gateway/duties.py
+++ b/src/pondtiller/gateway/leader/duties.py
@@ -2,9 +2,9 @@
 
 from betterproto import Message
 
-from pondtiller.daemon import clock
-from pondtiller.gateway.leadership import Duties
-from pondtiller.gateway.term import DutyParts, Term
+from pondtiller.gateway.leader.leadership import Duties
+from pondtiller.gateway.leader.term import DutyParts, Term
+from pondtiller.process import clock
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.steplog.entry import Entry
 from pondtiller.steplog.instructions import Won
--- a/src/pondtiller/gateway/duty_settings.py
+++ b/src/pondtiller/gateway/leader/duty_settings.py
@@ -1,11 +1,12 @@
 """What a leader's duties towards the operator are, by a gateway's settings."""
 
-from pondtiller.gateway.scaling_duty import ScalingSettings
-from pondtiller.gateway.settings import GatewaySettings, to_address
-from pondtiller.gateway.usage_duty import UsageSettings
+from pondtiller.address import to_address
+from pondtiller.gateway.leader.scaling_duty import ScalingSettings
+from pondtiller.gateway.leader.usage_duty import UsageSettings
 from pondtiller.httpio.client import HttpClient
 from pondtiller.platform.operator_api import OperatorClient, wants_scaling, wants_use
 from pondtiller.rollouts.scaling import PolicyName
+from pondtiller.settings import GatewaySettings
 
 
 def usage_settings(settings: GatewaySettings) -> UsageSettings | None:
--- a/src/pondtiller/gateway/first_group.py
+++ b/src/pondtiller/gateway/leader/first_group.py
@@ -1,9 +1,9 @@
 """The first group of replicas, agreed through the store."""
 
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.leadership import FirstGroupSource
+from pondtiller.gateway.leader.leadership import FirstGroupSource
 from pondtiller.platform import names, objects
 from pondtiller.platform.object_client import ObjectClient, PutOutcome, StoreCallError
+from pondtiller.process import clock, logs
 from pondtiller.steplog.fault_tolerance import PlaceRules
 from pondtiller.steplog.group_policy import first_members
 from pondtiller.wire.steplog import Group, GroupMember
--- a/src/pondtiller/gateway/leader_watches.py
+++ b/src/pondtiller/gateway/leader/leader_watches.py
@@ -5,10 +5,8 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import logs
-from pondtiller.gateway.replicas import ReplicaDirectory
-from pondtiller.gateway.store_watch import RETRY_SECONDS, StoreHealth, StoreReader, Watch
+from pondtiller.address import Address
+from pondtiller.peers.replicas import ReplicaDirectory
 from pondtiller.platform import engine_format, names, objects
 from pondtiller.platform.object_client import (
     ObjectClient,
@@ -16,7 +14,9 @@
     StoreChange,
     StoreObject,
 )
+from pondtiller.process import logs
 from pondtiller.rollouts.versions import VersionSteward
+from pondtiller.store.store_watch import RETRY_SECONDS, StoreHealth, StoreReader, Watch
 
 
 class LeaderWatches:
--- a/src/pondtiller/gateway/leadership.py
+++ b/src/pondtiller/gateway/leader/leadership.py
@@ -6,12 +6,12 @@
 import curio
 from betterproto import Message
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
+from pondtiller.address import Address
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.replicas import LeaderPlace, ReplicaDirectory
 from pondtiller.hashing import score
 from pondtiller.links.frames import Encoded, encode_message
+from pondtiller.peers.replicas import LeaderPlace, ReplicaDirectory
+from pondtiller.process import clock, logs
 from pondtiller.rollouts.steps import keys_of_ended_steps
 from pondtiller.routes.places import Distance
 from pondtiller.steplog.entry import Entry
--- a/src/pondtiller/gateway/order_rights.py
+++ b/src/pondtiller/gateway/leader/order_rights.py
@@ -7,9 +7,9 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.leadership import Leadership
-from pondtiller.gateway.orders import ORDER_SECONDS
+from pondtiller.gateway.engines.orders import ORDER_SECONDS
+from pondtiller.gateway.leader.leadership import Leadership
+from pondtiller.process import clock, logs
 from pondtiller.rollouts.versions import VersionSteward
 from pondtiller.routes.engines import EngineDirectory
 from pondtiller.steplog.instructions import Won
--- a/src/pondtiller/gateway/rate_duty.py
+++ b/src/pondtiller/gateway/leader/rate_duty.py
@@ -5,7 +5,7 @@
 from pondtiller.coordination.rate_grants import RateGrantor
 from pondtiller.coordination.rate_shares import RateTerms, RateWish
 from pondtiller.coordination.shares import HolderKey
-from pondtiller.daemon import clock
+from pondtiller.process import clock
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.wire.steplog import AskShares, SharesGranted
 
--- a/src/pondtiller/gateway/run_links.py
+++ b/src/pondtiller/gateway/leader/run_links.py
@@ -7,11 +7,11 @@
 import curio
 from betterproto import Message
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.gateway.sample_runner import EventSink, RunOrder, RunOutcome, ScoreOutcome
+from pondtiller.address import Address
+from pondtiller.gateway.runs.sample_runner import EventSink, RunOrder, RunOutcome, ScoreOutcome
 from pondtiller.links.link import Link, LinkLostError, connect
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
 from pondtiller.rollouts.run_news import (
     EndedRun,
     ScoredRun,
--- a/src/pondtiller/gateway/run_offers.py
+++ b/src/pondtiller/gateway/leader/run_offers.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Awaitable, Callable
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.leadership import Leadership
+from pondtiller.address import Address
+from pondtiller.gateway.leader.leadership import Leadership
+from pondtiller.gateway.leader.run_links import Runner, RunnerDirectory, RunnerLink
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.run_links import Runner, RunnerDirectory, RunnerLink
 from pondtiller.links.link import CONNECT_SECONDS
+from pondtiller.process import clock, logs
 from pondtiller.rollouts.runner_choice import Daemon
 from pondtiller.rollouts.sample_work import OfferedRun, RunName, StartRun
 from pondtiller.rollouts.samples import SampleScheduler
--- a/src/pondtiller/gateway/scaling_duty.py
+++ b/src/pondtiller/gateway/leader/scaling_duty.py
@@ -10,12 +10,12 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.front import Front
-from pondtiller.gateway.leadership import Leadership
+from pondtiller.gateway.callers.front import Front
+from pondtiller.gateway.leader.leadership import Leadership
+from pondtiller.gateway.leader.order_rights import NOTE_SECONDS, OrderRights
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.order_rights import NOTE_SECONDS, OrderRights
 from pondtiller.platform.operator_api import OperatorClient
+from pondtiller.process import clock, logs
 from pondtiller.rollouts.engine_need import EngineNeed
 from pondtiller.rollouts.sample_work import SampleWork
 from pondtiller.rollouts.scaling import (
--- a/src/pondtiller/gateway/term.py
+++ b/src/pondtiller/gateway/leader/term.py
@@ -8,27 +8,27 @@
 import curio
 from betterproto import Message
 
+from pondtiller.address import Address
 from pondtiller.coordination.agreed_clock import AgreedClock
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.daemon.supervise import keep_running
-from pondtiller.gateway.front import Front
-from pondtiller.gateway.leader_watches import LeaderWatches
-from pondtiller.gateway.leadership import Leadership
+from pondtiller.gateway.callers.front import Front
+from pondtiller.gateway.engines.orders import EngineOrders
+from pondtiller.gateway.leader.leader_watches import LeaderWatches
+from pondtiller.gateway.leader.leadership import Leadership
+from pondtiller.gateway.leader.order_rights import OrderRights
+from pondtiller.gateway.leader.rate_duty import FindTerms, RateDuty, no_terms
+from pondtiller.gateway.leader.run_links import RUNNER_LOST, RunnerDirectory, RunnerLink
+from pondtiller.gateway.leader.run_offers import RunOffers
+from pondtiller.gateway.leader.scaling_duty import ScalingDuty, ScalingParts, ScalingSettings
+from pondtiller.gateway.leader.tick_pacing import LONGEST_GAP_SECONDS, TickPacing
+from pondtiller.gateway.leader.usage_duty import UsageDuty, UsageParts, UsageSettings
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.order_rights import OrderRights
-from pondtiller.gateway.orders import EngineOrders
-from pondtiller.gateway.rate_duty import FindTerms, RateDuty, no_terms
-from pondtiller.gateway.run_links import RUNNER_LOST, RunnerDirectory, RunnerLink
-from pondtiller.gateway.run_offers import RunOffers
-from pondtiller.gateway.sample_runner import RunOrder, RunOutcome, SampleRunner
-from pondtiller.gateway.scaling_duty import ScalingDuty, ScalingParts, ScalingSettings
-from pondtiller.gateway.tick_pacing import LONGEST_GAP_SECONDS, TickPacing
-from pondtiller.gateway.usage_duty import UsageDuty, UsageParts, UsageSettings
+from pondtiller.gateway.runs.sample_runner import RunOrder, RunOutcome, SampleRunner
 from pondtiller.links.frames import encode_message
 from pondtiller.links.link import LinkLostError
 from pondtiller.platform.operator_api import OperatorClient
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
+from pondtiller.process.supervise import keep_running
 from pondtiller.rollouts.progress import ProgressSaver
 from pondtiller.rollouts.sample_work import (
     CancelRun,
--- a/src/pondtiller/gateway/usage_duty.py
+++ b/src/pondtiller/gateway/leader/usage_duty.py
@@ -11,12 +11,12 @@
 import curio
 
 from pondtiller.coordination.agreed_clock import AgreedClock
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.front import Front
-from pondtiller.gateway.leadership import Leadership
+from pondtiller.gateway.callers.front import Front
+from pondtiller.gateway.leader.leadership import Leadership
+from pondtiller.gateway.leader.order_rights import NOTE_SECONDS, OrderRights
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.order_rights import NOTE_SECONDS, OrderRights
 from pondtiller.platform.operator_api import OperatorClient, usage_body
+from pondtiller.process import clock, logs
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.steplog.entry import Entry
 from pondtiller.usage.ledger import LedgerRow, UseLedger
--- a/src/pondtiller/gateway/link_service.py
+++ b/src/pondtiller/gateway/link_service.py
@@ -2,11 +2,11 @@
 
 from betterproto import Message
 
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.gateway.duties import LeaderDuties
-from pondtiller.gateway.replicas import ReplicaDirectory
-from pondtiller.gateway.run_host import RUN_MESSAGES, RunHost
+from pondtiller.gateway.leader.duties import LeaderDuties
+from pondtiller.gateway.runs.run_host import RUN_MESSAGES, RunHost
 from pondtiller.links.link import Link
+from pondtiller.peers.replicas import ReplicaDirectory
+from pondtiller.process.spawner import Spawner
 from pondtiller.wire.steplog import SaveProgress, ScoreSample
 
 
--- a/src/pondtiller/gateway/figure_sources.py
+++ b/src/pondtiller/gateway/pages/figure_sources.py
@@ -3,19 +3,19 @@
 from typing import NamedTuple
 
 from pondtiller.coordination.agreed_clock import AgreedClock
-from pondtiller.gateway.cold_sends import ColdSends
-from pondtiller.gateway.duties import LeaderDuties
-from pondtiller.gateway.engine_pool import EnginePool
-from pondtiller.gateway.figures import GatewayFigures
-from pondtiller.gateway.front import Front
-from pondtiller.gateway.leadership import Leadership
+from pondtiller.gateway.callers.front import Front
+from pondtiller.gateway.engines.cold_sends import ColdSends
+from pondtiller.gateway.engines.engine_pool import EnginePool
+from pondtiller.gateway.leader.duties import LeaderDuties
+from pondtiller.gateway.leader.leadership import Leadership
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.mirrored_store import MirroredStore
-from pondtiller.gateway.result_cache import ResultCache
-from pondtiller.gateway.run_host import RunHost
+from pondtiller.gateway.pages.figures import GatewayFigures
+from pondtiller.gateway.runs.run_host import RunHost
 from pondtiller.gateway.watches import GatewayWatches
+from pondtiller.peers.result_cache import ResultCache
 from pondtiller.platform.object_client import ObjectClient
 from pondtiller.routes.engines import EngineDirectory
+from pondtiller.store.mirrored_store import MirroredStore
 
 
 class FigureSources(NamedTuple):
--- a/src/pondtiller/gateway/metrics_text.py
+++ b/src/pondtiller/gateway/pages/metrics_text.py
@@ -10,8 +10,8 @@
     Metric,
 )
 
-from pondtiller.gateway.figures import GatewayFigures
 from pondtiller.gateway.metrics import LATENCY_BOUNDS, Latencies
+from pondtiller.gateway.pages.figures import GatewayFigures
 from pondtiller.links.link import SENT_BYTES
 
 
--- a/src/pondtiller/gateway/pages.py
+++ b/src/pondtiller/gateway/pages/readiness_page.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
-from pondtiller.daemon import clock
-from pondtiller.gateway.figure_sources import FigureSources
-from pondtiller.gateway.metrics_server import CONTENT_TYPE, METRICS_PATH
+from pondtiller.gateway.pages.figure_sources import FigureSources
 from pondtiller.httpio.messages import HttpResponse
+from pondtiller.httpio.metrics_server import CONTENT_TYPE, METRICS_PATH
 from pondtiller.httpio.server import Exchange
 from pondtiller.platform import names
+from pondtiller.process import clock
 
 TABLE_PATH = "/table"
 
@@ -21,13 +21,13 @@
 
     def render_metrics(self) -> bytes:
         """Return this gateway's figures as Prometheus text."""
-        from pondtiller.gateway.metrics_text import render
+        from pondtiller.gateway.pages.metrics_text import render
 
         return render(self._sources.figures(clock.monotonic()))
 
     def render_table(self) -> bytes:
         """Return the table in force here, filled with status."""
-        from pondtiller.gateway.table_view import render
+        from pondtiller.gateway.pages.table_view import render
 
         return render(self._sources.figures(clock.monotonic()))
 
--- a/src/pondtiller/gateway/table_view.py
+++ b/src/pondtiller/gateway/pages/table_view.py
@@ -1,6 +1,6 @@
 """The table in force at one gateway, filled with status; loaded when somebody looks."""
 
-from pondtiller.gateway.figures import GatewayFigures
+from pondtiller.gateway.pages.figures import GatewayFigures
 from pondtiller.platform import names
 from pondtiller.routes.sheet_rows import sheet_of
 from pondtiller.table.sheet import COLUMNS, Row, RowKind, shown_text
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -2,40 +2,41 @@
 
 from betterproto import Message
 
+from pondtiller.address import to_address
 from pondtiller.coordination.agreed_clock import AgreedClock
 from pondtiller.coordination.rate_shares import RateTerms
-from pondtiller.gateway.cold_sends import ColdSends
-from pondtiller.gateway.duties import LeaderDuties
-from pondtiller.gateway.duty_settings import operator_client, scaling_settings, usage_settings
-from pondtiller.gateway.engine_pool import EnginePool
-from pondtiller.gateway.evacuation_watch import EvacuationWatch
-from pondtiller.gateway.figure_sources import FigureSources
-from pondtiller.gateway.first_group import StoredFirstGroup
-from pondtiller.gateway.forward import Forwarder
-from pondtiller.gateway.front import Front
-from pondtiller.gateway.held_runs import HeldRuns
-from pondtiller.gateway.key_freshness import KeyFreshness
-from pondtiller.gateway.leader_age import leader_age
-from pondtiller.gateway.leader_watches import LeaderWatches
-from pondtiller.gateway.leadership import Leadership
+from pondtiller.gateway.callers.forward import Forwarder
+from pondtiller.gateway.callers.front import Front
+from pondtiller.gateway.callers.key_freshness import KeyFreshness
+from pondtiller.gateway.callers.streams import StreamForwarder
+from pondtiller.gateway.callers.tenant_rates import TenantRates
+from pondtiller.gateway.engines.cold_sends import ColdSends
+from pondtiller.gateway.engines.engine_pool import EnginePool
+from pondtiller.gateway.engines.orders import EngineOrders
+from pondtiller.gateway.engines.suspect_sharing import SuspectSharing
+from pondtiller.gateway.engines.suspects import SuspectContents
+from pondtiller.gateway.leader.duties import LeaderDuties
+from pondtiller.gateway.leader.duty_settings import (
+    operator_client,
+    scaling_settings,
+    usage_settings,
+)
+from pondtiller.gateway.leader.first_group import StoredFirstGroup
+from pondtiller.gateway.leader.leader_watches import LeaderWatches
+from pondtiller.gateway.leader.leadership import Leadership
+from pondtiller.gateway.leader.term import DutyParts
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.mirrored_store import MirroredStore
-from pondtiller.gateway.orders import EngineOrders
-from pondtiller.gateway.run_host import RunHost
-from pondtiller.gateway.sample_runner import SampleRunner
-from pondtiller.gateway.settings import GatewaySettings, to_address
-from pondtiller.gateway.share_asker import ShareAsker
+from pondtiller.gateway.pages.figure_sources import FigureSources
+from pondtiller.gateway.runs.held_runs import HeldRuns
+from pondtiller.gateway.runs.run_host import RunHost
+from pondtiller.gateway.runs.sample_runner import SampleRunner
 from pondtiller.gateway.sockets import GatewaySockets
-from pondtiller.gateway.step_client import StepClient
-from pondtiller.gateway.store_watch import StoreHealth
-from pondtiller.gateway.streams import StreamForwarder
-from pondtiller.gateway.suspect_sharing import SuspectSharing
-from pondtiller.gateway.suspects import SuspectContents
-from pondtiller.gateway.tenant_rates import TenantRates
-from pondtiller.gateway.term import DutyParts
-from pondtiller.gateway.usage_teller import UsageTeller
 from pondtiller.gateway.watches import GatewayWatches
 from pondtiller.httpio.client import HttpClient
+from pondtiller.peers.leader_age import leader_age
+from pondtiller.peers.share_asker import ShareAsker
+from pondtiller.peers.step_client import StepClient
+from pondtiller.peers.usage_teller import UsageTeller
 from pondtiller.platform.object_client import ObjectClient
 from pondtiller.routes.cold import SUBJECT_PREFIX as COLD_PREFIX
 from pondtiller.routes.cold import ColdBound, ColdEngines
@@ -43,7 +44,11 @@
 from pondtiller.routes.places import Places
 from pondtiller.routes.rates import SUBJECT_PREFIX as TENANT_PREFIX
 from pondtiller.routes.send_gate import SendGate
+from pondtiller.settings import GatewaySettings
 from pondtiller.steplog.fault_tolerance import PlaceRules
+from pondtiller.store.evacuation_watch import EvacuationWatch
+from pondtiller.store.mirrored_store import MirroredStore
+from pondtiller.store.store_watch import StoreHealth
 from pondtiller.usage.meter import UseMeter
 from pondtiller.wire.steplog import Subscribe
 
--- a/src/pondtiller/gateway/process.py
+++ b/src/pondtiller/gateway/process.py
@@ -2,18 +2,18 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.daemon.supervise import keep_running
+from pondtiller.address import Address
 from pondtiller.gateway.housekeeping import Housekeeping
 from pondtiller.gateway.link_service import LinkService
-from pondtiller.gateway.metrics_server import MetricsServer
-from pondtiller.gateway.pages import Pages
+from pondtiller.gateway.pages.readiness_page import Pages
 from pondtiller.gateway.parts import GatewayParts
-from pondtiller.gateway.settings import GatewaySettings
+from pondtiller.httpio.metrics_server import MetricsServer
 from pondtiller.httpio.server import serve_http
 from pondtiller.links.link import serve_links
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
+from pondtiller.process.supervise import keep_running
+from pondtiller.settings import GatewaySettings
 
 NOT_READY_SECONDS = 3.0
 STOP_MARGIN_SECONDS = 0.7
--- /dev/null
+++ b/src/pondtiller/gateway/runs/__init__.py
@@ -0,0 +1,1 @@
+"""Runs of samples that a gateway holds for a leader."""
--- a/src/pondtiller/gateway/held_runs.py
+++ b/src/pondtiller/gateway/runs/held_runs.py
@@ -5,9 +5,9 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.gateway.hosted_run import HostedRun
+from pondtiller.gateway.runs.hosted_run import HostedRun
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
 from pondtiller.rollouts.run_holding import (
     NEXT_LEADER_SECONDS,
     SAME_LEADER_SECONDS,
--- a/src/pondtiller/gateway/hosted_run.py
+++ b/src/pondtiller/gateway/runs/hosted_run.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from pondtiller.gateway.sample_runner import RunOrder, RunOutcome, ScoreOutcome
+from pondtiller.gateway.runs.sample_runner import RunOrder, RunOutcome, ScoreOutcome
 from pondtiller.rollouts.run_news import EndedRun, RunEvent, ScoredRun
 from pondtiller.rollouts.sample_work import NO_RUN, RunName
 
--- a/src/pondtiller/gateway/run_host.py
+++ b/src/pondtiller/gateway/runs/run_host.py
@@ -15,13 +15,13 @@
 import curio
 from betterproto import Message
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.gateway.held_runs import HeldRuns
-from pondtiller.gateway.hosted_run import HostedRun
-from pondtiller.gateway.sample_runner import RunOrder, RunOutcome, SampleRunner, ScoreOutcome
+from pondtiller.address import Address
+from pondtiller.gateway.runs.held_runs import HeldRuns
+from pondtiller.gateway.runs.hosted_run import HostedRun
+from pondtiller.gateway.runs.sample_runner import RunOrder, RunOutcome, SampleRunner, ScoreOutcome
 from pondtiller.links.link import Link
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
 from pondtiller.rollouts.run_holding import LEADER_SILENT_SECONDS, LostLeader
 from pondtiller.rollouts.run_news import EndedRun, NewsGatherer, RunEvent, ScoredRun
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName, ScoreEnd
--- a/src/pondtiller/gateway/sample_runner.py
+++ b/src/pondtiller/gateway/runs/sample_runner.py
@@ -5,17 +5,17 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
+from pondtiller.address import Address
 from pondtiller.errors import Failure
-from pondtiller.gateway.cold_sends import ColdSends
-from pondtiller.gateway.engine_pool import EngineConnection, EnginePool, HeldBackError
-from pondtiller.gateway.forward import Forwarder
-from pondtiller.gateway.race import ForwardedRequest
+from pondtiller.gateway.callers.forward import Forwarder
+from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.engines.cold_sends import ColdSends
+from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, HeldBackError
 from pondtiller.hashing import content_digest
 from pondtiller.httpio.client import BrokenError, NotSentError
 from pondtiller.platform import engine_format
 from pondtiller.platform.engine_format import EventReader
+from pondtiller.process import clock
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName, ScoreEnd
 from pondtiller.routes.quarantine import sample_content
 from pondtiller.routes.send_gate import Held, SendGate
--- a/src/pondtiller/gateway/sockets.py
+++ b/src/pondtiller/gateway/sockets.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from pondtiller.core.entities import Address
-from pondtiller.gateway.settings import GatewaySettings, to_address
+from pondtiller.address import Address, to_address
 from pondtiller.httpio.server import bind_tcp
+from pondtiller.settings import GatewaySettings
 
 
 class GatewaySockets:
--- a/src/pondtiller/gateway/tests/ending_engine.py
+++ b/src/pondtiller/gateway/tests/ending_engine.py
@@ -4,12 +4,12 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.gateway.tests.system import System
 from pondtiller.httpio.server import ConnectionLostError, Exchange, bind_tcp, serve_http
 from pondtiller.platform.standins import StandInEngine, StandInStore
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 
 ENDING = b"ends what runs it"
 WORK_SECONDS = 0.02
--- a/src/pondtiller/gateway/tests/system.py
+++ b/src/pondtiller/gateway/tests/system.py
@@ -8,19 +8,8 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.settings import (
-    Evacuation,
-    GatewaySettings,
-    Keys,
-    OperatorApi,
-    ReplicaSettings,
-    Scaling,
-    Usage,
-)
 from pondtiller.httpio.client import HttpClient
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.platform.standins import (
@@ -30,8 +19,19 @@
     configuration,
     step_body,
 )
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.replica.process import ReplicaProcess
 from pondtiller.rollouts.scaling import PolicyName
+from pondtiller.settings import (
+    Evacuation,
+    GatewaySettings,
+    Keys,
+    OperatorApi,
+    ReplicaSettings,
+    Scaling,
+    Usage,
+)
 
 ANY = "127.0.0.1:0"
 DUTIES = ("usage_report", "autoscaler")
--- a/src/pondtiller/gateway/tests/test_announced_links.py
+++ b/src/pondtiller/gateway/tests/test_announced_links.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.settings import GatewaySettings, ReplicaSettings
 from pondtiller.replica.process import ReplicaProcess
+from pondtiller.settings import GatewaySettings, ReplicaSettings
 
 ANY = "127.0.0.1:0"
 STORE = "127.0.0.1:9"
--- a/src/pondtiller/gateway/tests/test_cold.py
+++ b/src/pondtiller/gateway/tests/test_cold.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
 from pondtiller.gateway.tests.let_through import LetThrough
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.platform.standins import StandInEngine, configuration
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.routes.answer_times import AnswerTimes
 from pondtiller.routes.cold import subject_of
 
--- a/src/pondtiller/gateway/tests/test_cold_sends.py
+++ b/src/pondtiller/gateway/tests/test_cold_sends.py
@@ -5,14 +5,14 @@
 import curio
 import pytest
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.gateway import cold_sends
-from pondtiller.gateway.cold_sends import ColdSends
+from pondtiller.address import Address
+from pondtiller.gateway.engines import cold_sends
+from pondtiller.gateway.engines.cold_sends import ColdSends
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.replicas import LeaderPlace
-from pondtiller.gateway.share_asker import ShareAsker
+from pondtiller.peers.replicas import LeaderPlace
+from pondtiller.peers.share_asker import ShareAsker
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.routes import cold
 from pondtiller.routes.cold import ColdBound, ColdEngines
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
--- a/src/pondtiller/gateway/tests/test_cost_of_a_sample.py
+++ b/src/pondtiller/gateway/tests/test_cost_of_a_sample.py
@@ -7,8 +7,8 @@
 import pytest
 from betterproto import Message
 
-from pondtiller.daemon.spawner import Spawner
 from pondtiller.gateway.tests.system import System, run_system
+from pondtiller.process.spawner import Spawner
 
 SAMPLES, REPLICAS = 24, 3
 TASKS_A_SAMPLE = 2
--- a/src/pondtiller/gateway/tests/test_distances.py
+++ b/src/pondtiller/gateway/tests/test_distances.py
@@ -6,22 +6,21 @@
 import curio
 import pytest
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
+from pondtiller.address import Address
 from pondtiller.errors import Failure
-from pondtiller.gateway import forward
-from pondtiller.gateway.engine_pool import EnginePool, SilentEngineError
-from pondtiller.gateway.forward import Forwarder
-from pondtiller.gateway.leadership import (
+from pondtiller.gateway.callers import forward
+from pondtiller.gateway.callers.forward import Forwarder
+from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.tries import WholeAnswer
+from pondtiller.gateway.engines.engine_pool import EnginePool, SilentEngineError
+from pondtiller.gateway.leader.leadership import (
     NO_QUORUM_IN_REGION_SECONDS,
     FirstGroupSource,
     Leadership,
 )
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.mirrored_store import MirroredStore
-from pondtiller.gateway.race import ForwardedRequest
-from pondtiller.gateway.sample_runner import SampleRunner, ScoreOutcome
-from pondtiller.gateway.tries import WholeAnswer
+from pondtiller.gateway.runs.sample_runner import SampleRunner, ScoreOutcome
+from pondtiller.process import clock
 from pondtiller.rollouts.sample_work import ScoreEnd
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.places import Places
@@ -29,6 +28,7 @@
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable, ServiceShare
 from pondtiller.steplog.fault_tolerance import PlaceRules, Tolerance
 from pondtiller.steplog.follower import Follower
+from pondtiller.store.mirrored_store import MirroredStore
 from pondtiller.wire.steplog import Group, GroupMember, Sample, Scorer
 
 PLACES = Places({"s1": "s", "s2": "s", "s3": "s", "n1": "n", "n2": "n"})
--- a/src/pondtiller/gateway/tests/test_ending_requests.py
+++ b/src/pondtiller/gateway/tests/test_ending_requests.py
@@ -20,7 +20,6 @@
 import curio
 import pytest
 
-from pondtiller.daemon import clock
 from pondtiller.gateway.tests.ending_engine import (
     DOWN_SECONDS,
     ENDING,
@@ -32,6 +31,7 @@
 from pondtiller.httpio.server import ConnectionLostError, Exchange
 from pondtiller.platform import names
 from pondtiller.platform.standins import configuration, step_body
+from pondtiller.process import clock
 from pondtiller.routes.quarantine import MOST_SAMPLE_ENDS
 
 ENDS = 2
--- a/src/pondtiller/gateway/tests/test_engine_ends.py
+++ b/src/pondtiller/gateway/tests/test_engine_ends.py
@@ -3,11 +3,11 @@
 import curio
 import pytest
 
-from pondtiller.core.entities import Address
-from pondtiller.gateway.engine_ends import EngineEnds
-from pondtiller.gateway.engine_pool import EnginePool
+from pondtiller.address import Address
+from pondtiller.gateway.engines.engine_ends import EngineEnds
+from pondtiller.gateway.engines.engine_pool import EnginePool
+from pondtiller.gateway.engines.suspects import SuspectContents
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.suspects import SuspectContents
 from pondtiller.httpio.server import bind_tcp
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 
--- a/src/pondtiller/gateway/tests/test_evacuation_watch.py
+++ b/src/pondtiller/gateway/tests/test_evacuation_watch.py
@@ -6,19 +6,19 @@
 import pytest
 from pydantic import ValidationError
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import logs
-from pondtiller.gateway import evacuation_bounds as bounds
-from pondtiller.gateway.evacuation_watch import EvacuationWatch
-from pondtiller.gateway.settings import Evacuation
-from pondtiller.gateway.store_watch import StoreHealth
+from pondtiller.address import Address
 from pondtiller.platform.object_client import (
     StoreChange,
     StoreChanges,
     StoreListing,
     StoreObject,
 )
+from pondtiller.process import logs
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
+from pondtiller.settings import Evacuation
+from pondtiller.store import evacuation_bounds as bounds
+from pondtiller.store.evacuation_watch import EvacuationWatch
+from pondtiller.store.store_watch import StoreHealth
 
 
 class NoStore:
--- a/src/pondtiller/gateway/tests/test_evacuations.py
+++ b/src/pondtiller/gateway/tests/test_evacuations.py
@@ -7,21 +7,21 @@
 import curio
 import pytest
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway import evacuation_bounds as bounds
-from pondtiller.gateway.evacuation_watch import EvacuationWatch
+from pondtiller.address import Address
+from pondtiller.gateway.pages.table_view import render
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.sample_runner import RunOrder
-from pondtiller.gateway.table_view import render
+from pondtiller.gateway.runs.sample_runner import RunOrder
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.httpio.client import BrokenError
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import Exchange
 from pondtiller.platform.object_client import StoreCallError
 from pondtiller.platform.standins import StandInEngine, configuration
-from pondtiller.replica import mirror as mirrors
+from pondtiller.process import clock, logs
 from pondtiller.rollouts.sample_work import RunEnd
+from pondtiller.store import evacuation_bounds as bounds
+from pondtiller.store import mirror as mirrors
+from pondtiller.store.evacuation_watch import EvacuationWatch
 from pondtiller.wire.steplog import Sample
 
 WITHIN = 5.0
--- a/src/pondtiller/gateway/tests/test_first_group.py
+++ b/src/pondtiller/gateway/tests/test_first_group.py
@@ -5,9 +5,9 @@
 import curio
 import pytest
 
-from pondtiller.daemon import clock
-from pondtiller.gateway.first_group import FEW_SECONDS, StoredFirstGroup
+from pondtiller.gateway.leader.first_group import FEW_SECONDS, StoredFirstGroup
 from pondtiller.platform.object_client import PutOutcome, StoreObject
+from pondtiller.process import clock
 from pondtiller.steplog.fault_tolerance import PlaceRules, Tolerance
 from pondtiller.wire.steplog import Group, GroupMember
 
--- a/src/pondtiller/gateway/tests/test_leader_store.py
+++ b/src/pondtiller/gateway/tests/test_leader_store.py
@@ -7,13 +7,10 @@
 import curio
 import pytest
 
-from pondtiller.core.entities import Address
-from pondtiller.gateway import leader_store
-from pondtiller.gateway.leader_store import LeaderStore
-from pondtiller.gateway.leader_watches import LeaderWatches
-from pondtiller.gateway.replicas import ReplicaDirectory
-from pondtiller.gateway.store_watch import StoreHealth
+from pondtiller.address import Address
+from pondtiller.gateway.leader.leader_watches import LeaderWatches
 from pondtiller.gateway.tests.system import System, run_system
+from pondtiller.peers.replicas import ReplicaDirectory
 from pondtiller.platform import names
 from pondtiller.platform.mirror import MirrorStatus, changes_page, listing_page
 from pondtiller.platform.object_client import (
@@ -27,6 +24,9 @@
 from pondtiller.rollouts.versions import OrderVersion, VersionSteward
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.places import Places
+from pondtiller.store import leader_store
+from pondtiller.store.leader_store import LeaderStore
+from pondtiller.store.store_watch import StoreHealth
 from pondtiller.wire.steplog import MirrorPage, ReadMirror
 
 MODELS = ("a", "b", "c")
--- a/src/pondtiller/gateway/tests/test_leadership.py
+++ b/src/pondtiller/gateway/tests/test_leadership.py
@@ -2,11 +2,11 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
-from pondtiller.gateway.leadership import FirstGroupSource, Leadership
+from pondtiller.address import Address
+from pondtiller.gateway.leader.leadership import FirstGroupSource, Leadership
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.replicas import LeaderPlace
+from pondtiller.peers.replicas import LeaderPlace
+from pondtiller.process import clock
 from pondtiller.steplog.instructions import Deposed, Phase
 from pondtiller.wire.steplog import Group, GroupMember, ReplicaView
 
--- a/src/pondtiller/gateway/tests/test_live_load.py
+++ b/src/pondtiller/gateway/tests/test_live_load.py
@@ -6,16 +6,16 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
+from pondtiller.address import Address
 from pondtiller.errors import ErrorKind, Failure
-from pondtiller.gateway.engine_pool import AnswerHead, EnginePool
-from pondtiller.gateway.forward import Forwarder
+from pondtiller.gateway.callers.forward import Forwarder
+from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.tries import WholeAnswer
+from pondtiller.gateway.engines.engine_pool import AnswerHead, EnginePool
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.race import ForwardedRequest
-from pondtiller.gateway.tries import WholeAnswer
 from pondtiller.httpio.client import NotSentError
 from pondtiller.platform import names
+from pondtiller.process import clock
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.send_gate import SendGate
 from pondtiller.routes.table import RequestKind, RouteRow, ServiceShare
--- a/src/pondtiller/gateway/tests/test_mirrored_store.py
+++ b/src/pondtiller/gateway/tests/test_mirrored_store.py
@@ -5,19 +5,19 @@
 import curio
 import pytest
 
-from pondtiller.daemon import clock
-from pondtiller.gateway.mirrored_store import (
-    FIRST_NOT_MIRRORED_SECONDS,
-    LONGEST_NEWS_SECONDS,
-    LONGEST_WAIT_SECONDS,
-)
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.store_watch import Watch
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.platform.object_client import StoreCallError
 from pondtiller.platform.standins import configuration
-from pondtiller.replica import mirror as mirrors
+from pondtiller.process import clock
 from pondtiller.replica import process as replica_process
+from pondtiller.store import mirror as mirrors
+from pondtiller.store.mirrored_store import (
+    FIRST_NOT_MIRRORED_SECONDS,
+    LONGEST_NEWS_SECONDS,
+    LONGEST_WAIT_SECONDS,
+)
+from pondtiller.store.store_watch import Watch
 
 USUAL_FRESH_SECONDS = mirrors.FRESH_SECONDS
 
--- a/src/pondtiller/gateway/tests/test_rates.py
+++ b/src/pondtiller/gateway/tests/test_rates.py
@@ -6,12 +6,12 @@
 import curio
 import pytest
 
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
 from pondtiller.gateway.tests.let_through import LetThrough
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_tenants import ANN, BOB, KEYS, until_in_force
 from pondtiller.platform.standins import configuration, with_tenants
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.routes.rates import rate_terms, subject_of
 
 RATE = 10.0
--- a/src/pondtiller/gateway/tests/test_replicas.py
+++ b/src/pondtiller/gateway/tests/test_replicas.py
@@ -3,16 +3,16 @@
 import curio
 import pytest
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
-from pondtiller.gateway import replicas
-from pondtiller.gateway.replicas import (
+from pondtiller.address import Address
+from pondtiller.links.link import LinkLostError
+from pondtiller.peers import replicas
+from pondtiller.peers.replicas import (
     LONELY_SECONDS,
     STALE_VIEW_SECONDS,
     ReplicaDirectory,
     ReplicaLink,
 )
-from pondtiller.links.link import LinkLostError
+from pondtiller.process import clock
 from pondtiller.wire.steplog import Group, GroupMember, ReplicaView
 
 
--- a/src/pondtiller/gateway/tests/test_result_cache.py
+++ b/src/pondtiller/gateway/tests/test_result_cache.py
@@ -2,10 +2,10 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.gateway.replicas import LeaderPlace
-from pondtiller.gateway.result_cache import ResultCache
-from pondtiller.gateway.step_client import StepClient
+from pondtiller.address import Address
+from pondtiller.peers.replicas import LeaderPlace
+from pondtiller.peers.result_cache import ResultCache
+from pondtiller.peers.step_client import StepClient
 from pondtiller.rollouts.steps import LARGEST_PAGE_BYTES, StepStatus
 from pondtiller.wire.steplog import ReadResults, ResultsPage, SampleResult
 
--- a/src/pondtiller/gateway/tests/test_runs_elsewhere.py
+++ b/src/pondtiller/gateway/tests/test_runs_elsewhere.py
@@ -8,13 +8,13 @@
 import pytest
 from betterproto import Message
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.gateway import run_host, run_links
-from pondtiller.gateway import term as terms
+from pondtiller.gateway.leader import term as terms
+from pondtiller.gateway.leader.run_links import RUNNER_SILENT_SECONDS, RunnerLink
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.run_host import RunHost
-from pondtiller.gateway.run_links import RUNNER_SILENT_SECONDS, RunnerLink
-from pondtiller.gateway.sample_runner import EventSink, RunOrder, RunOutcome
+from pondtiller.gateway.runs.run_host import RunHost
+from pondtiller.gateway.runs.sample_runner import EventSink, RunOrder, RunOutcome
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.links.link import Link
 from pondtiller.rollouts import run_holding
--- a/src/pondtiller/gateway/tests/test_scaling_duty.py
+++ b/src/pondtiller/gateway/tests/test_scaling_duty.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from pondtiller.daemon import clock
+from pondtiller.gateway.leader.scaling_duty import CALL_SECONDS, ScalingDuty
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.scaling_duty import CALL_SECONDS, ScalingDuty
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.platform.standins import configuration
+from pondtiller.process import clock
 from pondtiller.rollouts import engine_need
 from pondtiller.rollouts.scaling import PolicyName, ScaleOrder, ServiceScale
 
--- a/src/pondtiller/gateway/tests/test_suspended.py
+++ b/src/pondtiller/gateway/tests/test_suspended.py
@@ -11,25 +11,25 @@
 import curio
 import pytest
 
+from pondtiller.address import Address
 from pondtiller.coordination.rate_shares import RateTerms
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
 from pondtiller.errors import ErrorKind, Failure
-from pondtiller.gateway.engine_pool import EnginePool
-from pondtiller.gateway.forward import Forwarder
-from pondtiller.gateway.key_freshness import KeyFreshness
+from pondtiller.gateway.callers.forward import Forwarder
+from pondtiller.gateway.callers.key_freshness import KeyFreshness
+from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.engines.engine_pool import EnginePool
 from pondtiller.gateway.metrics import GatewayMetrics
-from pondtiller.gateway.race import ForwardedRequest
-from pondtiller.gateway.settings import Keys
-from pondtiller.gateway.share_asker import ShareAsker
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.httpio.client import HttpClient, NotSentError
+from pondtiller.peers.share_asker import ShareAsker
 from pondtiller.platform.standins import StandInEngine
-from pondtiller.replica import mirror as mirrors
+from pondtiller.process import clock
 from pondtiller.rollouts.run_holding import HoldStep, LostLeader, next_step
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.send_gate import SendGate
 from pondtiller.routes.table import RequestKind, RouteRow, ServiceShare
+from pondtiller.settings import Keys
+from pondtiller.store import mirror as mirrors
 from pondtiller.wire.steplog import ReadResults
 
 SLEPT = [1.0, 3.0, 10.0]
--- a/src/pondtiller/gateway/tests/test_system.py
+++ b/src/pondtiller/gateway/tests/test_system.py
@@ -5,11 +5,11 @@
 import curio
 import pytest
 
-from pondtiller.daemon import clock
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange
 from pondtiller.platform.standins import configuration
+from pondtiller.process import clock
 from pondtiller.routes.answer_times import FIRST_SECONDS
 
 
--- a/src/pondtiller/gateway/tests/test_term_start.py
+++ b/src/pondtiller/gateway/tests/test_term_start.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from pondtiller.gateway.term import Term
+from pondtiller.gateway.leader.term import Term
 from pondtiller.gateway.tests.system import System, run_system
 
 SLOW_SECONDS = 1.5
--- a/src/pondtiller/gateway/tests/test_tick_pacing.py
+++ b/src/pondtiller/gateway/tests/test_tick_pacing.py
@@ -1,6 +1,6 @@
 import pytest
 
-from pondtiller.gateway.tick_pacing import LONGEST_GAP_SECONDS, TICK_SHARE, TickPacing
+from pondtiller.gateway.leader.tick_pacing import LONGEST_GAP_SECONDS, TICK_SHARE, TickPacing
 
 
 def share_of_ticks(tick_seconds: float, seconds: float = 10.0) -> float:
--- a/src/pondtiller/gateway/tests/test_watches.py
+++ b/src/pondtiller/gateway/tests/test_watches.py
@@ -4,8 +4,6 @@
 
 import curio
 
-from pondtiller.daemon import clock
-from pondtiller.gateway.store_watch import StoreHealth, Watch
 from pondtiller.platform.object_client import (
     HistoryGoneError,
     StoreCallError,
@@ -14,6 +12,8 @@
     StoreListing,
     StoreObject,
 )
+from pondtiller.process import clock
+from pondtiller.store.store_watch import StoreHealth, Watch
 
 
 class ScriptedStore:
--- a/src/pondtiller/gateway/tests/test_zone_loss.py
+++ b/src/pondtiller/gateway/tests/test_zone_loss.py
@@ -5,9 +5,9 @@
 import curio
 
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.settings import GatewaySettings, Losses, ReplicaSettings
 from pondtiller.gateway.tests.system import ANY, System
 from pondtiller.replica.process import ReplicaProcess
+from pondtiller.settings import GatewaySettings, Losses, ReplicaSettings
 
 ZONES = ("a", "a", "b", "c", "d")
 
--- a/src/pondtiller/gateway/watches.py
+++ b/src/pondtiller/gateway/watches.py
@@ -5,18 +5,18 @@
 
 from result import Err
 
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.front import Front
-from pondtiller.gateway.store_watch import (
+from pondtiller.gateway.callers.front import Front
+from pondtiller.platform import configuration, engine_entries, names
+from pondtiller.platform.object_client import StoreChange, StoreObject
+from pondtiller.process import clock, logs
+from pondtiller.routes.engines import EngineDirectory, EngineEntry
+from pondtiller.store.store_watch import (
     LONGEST_RETRY_SECONDS,
     WATCH_SECONDS,
     StoreHealth,
     StoreReader,
     Watch,
 )
-from pondtiller.platform import configuration, engine_entries, names
-from pondtiller.platform.object_client import StoreChange, StoreObject
-from pondtiller.routes.engines import EngineDirectory, EngineEntry
 
 ENGINES_REST_SECONDS = 1.2
 MIRRORED_RETRY_SECONDS = 2.0
--- a/src/pondtiller/httpio/client.py
+++ b/src/pondtiller/httpio/client.py
@@ -6,7 +6,7 @@
 import curio
 import h11
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.sockets import tune
 
--- a/src/pondtiller/gateway/metrics_server.py
+++ b/src/pondtiller/httpio/metrics_server.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from pondtiller.gateway.settings import to_address
+from pondtiller.address import to_address
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import Exchange, bind_tcp, serve_http
 
--- a/src/pondtiller/httpio/server.py
+++ b/src/pondtiller/httpio/server.py
@@ -9,9 +9,9 @@
 import curio
 import h11
 
-from pondtiller.daemon.spawner import Spawner
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.httpio.messages import HttpRequest, HttpResponse, json_response, parse_target
+from pondtiller.process.spawner import Spawner
 
 MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
 MAXIMUM_HEAD_BYTES = 32 * 1024
--- a/src/pondtiller/links/link.py
+++ b/src/pondtiller/links/link.py
@@ -8,8 +8,7 @@
 import curio
 from betterproto import Message
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.httpio.sockets import tune
 from pondtiller.links.frames import (
     BadFrameError,
@@ -20,6 +19,7 @@
     encode_message,
     message_name,
 )
+from pondtiller.process.spawner import Spawner
 
 READ_BYTES = 262_144
 CONNECT_SECONDS = 0.6
--- a/src/pondtiller/gateway/leader_age.py
+++ b/src/pondtiller/peers/leader_age.py
@@ -2,9 +2,9 @@
 
 import curio
 
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.gateway.replicas import ReplicaDirectory
 from pondtiller.links.link import Link, LinkLostError
+from pondtiller.peers.replicas import ReplicaDirectory
+from pondtiller.process.spawner import Spawner
 from pondtiller.wire.steplog import LeaseAge, ReadLease
 
 ANSWER_SECONDS = 0.15
--- a/src/pondtiller/gateway/replicas.py
+++ b/src/pondtiller/peers/replicas.py
@@ -6,10 +6,10 @@
 import curio
 from betterproto import Message
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.links.link import Link, LinkLostError, connect
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
 from pondtiller.wire.steplog import Group, GroupMember, ReplicaView, Subscribe
 
 FIRST_RETRY_SECONDS = 0.05
--- a/src/pondtiller/gateway/share_asker.py
+++ b/src/pondtiller/peers/share_asker.py
@@ -9,8 +9,8 @@
 import curio
 
 from pondtiller.coordination.rate_shares import HeldRate, RateTerms, RateWish
-from pondtiller.daemon import clock
-from pondtiller.gateway.replicas import LeaderPlace
+from pondtiller.peers.replicas import LeaderPlace
+from pondtiller.process import clock
 from pondtiller.wire.steplog import AskShares, SharesGranted
 
 LOOK_SECONDS = 0.05
--- a/src/pondtiller/gateway/step_client.py
+++ b/src/pondtiller/peers/step_client.py
@@ -6,11 +6,11 @@
 import curio
 from betterproto import Message
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.replicas import LeaderPlace
-from pondtiller.gateway.result_cache import ResultCache, page_size
+from pondtiller.address import Address
 from pondtiller.links.link import Link, LinkLostError, connect
+from pondtiller.peers.replicas import LeaderPlace
+from pondtiller.peers.result_cache import ResultCache, page_size
+from pondtiller.process import clock, logs
 from pondtiller.rollouts.steps import LARGEST_PAGE_BYTES, StepStatus, result_size
 from pondtiller.wire.steplog import (
     AskShares,
--- a/src/pondtiller/gateway/usage_teller.py
+++ b/src/pondtiller/peers/usage_teller.py
@@ -5,10 +5,10 @@
 import curio
 
 from pondtiller.coordination.agreed_clock import AgreedClock
-from pondtiller.daemon import clock
-from pondtiller.gateway.replicas import LeaderPlace
-from pondtiller.gateway.step_client import StepClient
 from pondtiller.hashing import score
+from pondtiller.peers.replicas import LeaderPlace
+from pondtiller.peers.step_client import StepClient
+from pondtiller.process import clock
 from pondtiller.usage.meter import UseMeter, pack_rows, window_of
 from pondtiller.wire.steplog import UseTaken, UseTold
 
--- a/src/pondtiller/platform/engine_format.py
+++ b/src/pondtiller/platform/engine_format.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.platform import names
 from pondtiller.rollouts.versions import OrderVersion
 from pondtiller.routes.engines import name_of
--- a/src/pondtiller/platform/object_client.py
+++ b/src/pondtiller/platform/object_client.py
@@ -7,12 +7,12 @@
 from typing import Any
 from urllib.parse import quote
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import logs
+from pondtiller.address import Address
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.platform.configuration import without_keys
 from pondtiller.platform.names import CONFIGURATIONS, OBJECTS_PATH
+from pondtiller.process import logs
 
 CALL_SECONDS = 2.0
 WATCH_MARGIN_SECONDS = 1.0
--- a/src/pondtiller/platform/operator_api.py
+++ b/src/pondtiller/platform/operator_api.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import NamedTuple
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 from pondtiller.platform import names
 from pondtiller.rollouts.scaling import ScaleOrder
--- /dev/null
+++ b/src/pondtiller/process/__init__.py
@@ -0,0 +1,1 @@
+"""What every process needs: clocks, logs, tasks, signals, settings files."""
--- a/src/pondtiller/daemon/logs.py
+++ b/src/pondtiller/process/logs.py
@@ -5,20 +5,29 @@
 import re
 import sys
 import time
-from typing import TYPE_CHECKING
+from collections.abc import Sequence
+from typing import Protocol
 
 import logbook
 
-if TYPE_CHECKING:
-    from pondtiller.core.instructions import LogField
-
-
 LOGGER = logbook.Logger("pondtiller")
 QUOTED = re.compile(r'[ "=\n\r\t]')
 """What a value holds that cannot stand without quotes."""
 FORMAT = "{record.time:%Y-%m-%dT%H:%M:%S.%f}Z level={record.level_name} {record.message}"
 
 
+class LogField(Protocol):
+    """One key and its value, as they stand in a line."""
+
+    @property
+    def key(self) -> str:
+        """Name of the pair."""
+
+    @property
+    def value(self) -> object:
+        """Written as text, quoted where it must be."""
+
+
 def set_up(level: str) -> None:
     """Send log lines to standard error."""
     # curio warns of each timeout that ended late; under load that is ordinary.
@@ -28,7 +37,7 @@
     handler.push_application()
 
 
-def write(daemon: str, event: str, fields: "tuple[LogField, ...]" = ()) -> None:
+def write(daemon: str, event: str, fields: Sequence[LogField] = ()) -> None:
     """Write one event."""
     pairs = [f"event={event}", f"daemon={daemon}"]
     pairs += [f"{field.key}={_quote(str(field.value))}" for field in fields]
--- a/src/pondtiller/daemon/supervise.py
+++ b/src/pondtiller/process/supervise.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from pondtiller.daemon import logs
+from pondtiller.process import logs
 
 RESTART_SECONDS = 0.2
 
--- a/src/pondtiller/daemon/tests/test_logs.py
+++ b/src/pondtiller/process/tests/test_logs.py
@@ -5,7 +5,7 @@
 
 import logbook
 
-from pondtiller.daemon import logs
+from pondtiller.process import logs
 
 
 def pipe() -> tuple[int, int]:
--- a/src/pondtiller/daemon/tests/test_supervise.py
+++ b/src/pondtiller/process/tests/test_supervise.py
@@ -3,8 +3,8 @@
 import curio
 import pytest
 
-from pondtiller.daemon.race import run_until
-from pondtiller.daemon.supervise import keep_running
+from pondtiller.process.run_until import run_until
+from pondtiller.process.supervise import keep_running
 
 
 def test_a_task_that_fails_is_begun_again_until_it_ends() -> None:
--- a/src/pondtiller/gateway/program.py
+++ b/src/pondtiller/programs.py
@@ -6,10 +6,10 @@
 import curio
 from result import Err, Ok, Result
 
-from pondtiller.config.problems import Problem, load_toml
-from pondtiller.daemon import logs
-from pondtiller.daemon.signals import Request, requests
-from pondtiller.gateway.settings import GatewaySettings, ReplicaSettings
+from pondtiller.process import logs
+from pondtiller.process.problems import Problem, load_toml
+from pondtiller.process.signals import Request, requests
+from pondtiller.settings import GatewaySettings, ReplicaSettings
 
 Settings = TypeVar("Settings", GatewaySettings, ReplicaSettings)
 Given = TypeVar("Given", GatewaySettings, ReplicaSettings, contravariant=True)
--- a/src/pondtiller/replica/process.py
+++ b/src/pondtiller/replica/process.py
@@ -4,22 +4,22 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.daemon.supervise import keep_running
-from pondtiller.gateway.evacuation_bounds import MIRROR_TIMES
-from pondtiller.gateway.metrics_server import MetricsServer
-from pondtiller.gateway.settings import ReplicaSettings, to_address
+from pondtiller.address import Address, to_address
 from pondtiller.httpio.client import HttpClient
+from pondtiller.httpio.metrics_server import MetricsServer
 from pondtiller.httpio.server import bind_tcp
 from pondtiller.links.link import serve_links
 from pondtiller.platform import names, objects
 from pondtiller.platform.object_client import ObjectClient, PutOutcome, StoreCallError
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
+from pondtiller.process.supervise import keep_running
 from pondtiller.replica.file import LogFile
 from pondtiller.replica.server import ReplicaServer
+from pondtiller.settings import ReplicaSettings
 from pondtiller.steplog.kept_texts import KeptTexts
 from pondtiller.steplog.replica import Replica
+from pondtiller.store.mirror import MIRROR_TIMES
 from pondtiller.wire.steplog import DiskRecord, GroupMember
 
 REGISTER_RETRY_SECONDS = 0.5
--- a/src/pondtiller/replica/server.py
+++ b/src/pondtiller/replica/server.py
@@ -7,15 +7,15 @@
 import curio
 from betterproto import Message
 
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.gateway.store_watch import StoreReader
 from pondtiller.links.frames import encode_message
 from pondtiller.links.link import Link
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
 from pondtiller.replica.file import LogFile
-from pondtiller.replica.mirror import FollowTimes, StoreMirror
 from pondtiller.steplog.kept_texts import KeptTexts
 from pondtiller.steplog.replica import Replica, Reply, ViewState
+from pondtiller.store.mirror import FollowTimes, StoreMirror
+from pondtiller.store.store_watch import StoreReader
 from pondtiller.wire.steplog import (
     Append,
     DaemonList,
--- a/src/pondtiller/replica/tests/test_disk_full.py
+++ b/src/pondtiller/replica/tests/test_disk_full.py
@@ -8,7 +8,7 @@
 import pytest
 from betterproto import Message
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.httpio.client import HttpClient
 from pondtiller.platform.object_client import ObjectClient
 from pondtiller.replica.file import LogFile
--- a/src/pondtiller/rollouts/runner_choice.py
+++ b/src/pondtiller/rollouts/runner_choice.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.routes.engines import Engine
 from pondtiller.routes.places import Distance, Places
 
--- a/src/pondtiller/rollouts/tests/scheduling.py
+++ b/src/pondtiller/rollouts/tests/scheduling.py
@@ -1,6 +1,6 @@
 """What tests of the scheduler share: a route, entries of engines, and a scheduler with a step."""
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.rollouts.samples import SampleScheduler
 from pondtiller.rollouts.steps import StepBook, StepRecord, add_sample
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
--- a/src/pondtiller/rollouts/tests/test_candidates.py
+++ b/src/pondtiller/rollouts/tests/test_candidates.py
@@ -2,7 +2,7 @@
 
 import random
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.rollouts.candidates import COMPARED_ENGINES, Candidates
 from pondtiller.routes.engines import Engine, EngineEntry, EngineState
 
--- a/src/pondtiller/rollouts/tests/test_run_holding.py
+++ b/src/pondtiller/rollouts/tests/test_run_holding.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from pondtiller.gateway.held_runs import LOOK_SECONDS
-from pondtiller.gateway.leader_age import ANSWER_SECONDS
-from pondtiller.gateway.replicas import STALE_VIEW_SECONDS
-from pondtiller.gateway.run_host import NEWS_SECONDS
-from pondtiller.gateway.run_links import RUNNER_SILENT_SECONDS
-from pondtiller.gateway.run_offers import HELD_WAIT_SECONDS
+from pondtiller.gateway.leader.run_links import RUNNER_SILENT_SECONDS
+from pondtiller.gateway.leader.run_offers import HELD_WAIT_SECONDS
+from pondtiller.gateway.runs.held_runs import LOOK_SECONDS
+from pondtiller.gateway.runs.run_host import NEWS_SECONDS
+from pondtiller.peers.leader_age import ANSWER_SECONDS
+from pondtiller.peers.replicas import STALE_VIEW_SECONDS
 from pondtiller.rollouts.run_holding import (
     HEARD_SECONDS,
     LEADER_SILENT_SECONDS,
--- a/src/pondtiller/rollouts/tests/test_runner_choice.py
+++ b/src/pondtiller/rollouts/tests/test_runner_choice.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.rollouts.runner_choice import Daemon, EngineRunners, wanted_runners
 from pondtiller.routes.engines import Engine, EngineEntry, EngineState
 from pondtiller.routes.places import Places
--- a/src/pondtiller/rollouts/tests/test_versions.py
+++ b/src/pondtiller/rollouts/tests/test_versions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.rollouts.load_shares import load_shares
 from pondtiller.rollouts.versions import AskEngine, OrderVersion, VersionSteward
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
--- a/src/pondtiller/routes/engines.py
+++ b/src/pondtiller/routes/engines.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.routes.concurrency_limit import ConcurrencyLimit
 from pondtiller.routes.places import Places
 
--- a/src/pondtiller/routes/tests/test_cold.py
+++ b/src/pondtiller/routes/tests/test_cold.py
@@ -1,6 +1,6 @@
 from dataclasses import replace
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.routes.cold import TOLD_SECONDS, ColdBound, ColdEngines
 from pondtiller.routes.engines import (
     LONGEST_COLD_SECONDS,
--- a/src/pondtiller/routes/tests/test_engine_starts.py
+++ b/src/pondtiller/routes/tests/test_engine_starts.py
@@ -5,7 +5,7 @@
 
 from dataclasses import replace
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.platform.engine_format import engine_report, order_headers
 from pondtiller.rollouts.sample_work import CancelReason, CancelRun, StartRun
 from pondtiller.rollouts.samples import SampleScheduler
--- a/src/pondtiller/routes/tests/test_engines.py
+++ b/src/pondtiller/routes/tests/test_engines.py
@@ -2,9 +2,9 @@
 
 from dataclasses import replace
 
-from pondtiller.core.entities import Address
-from pondtiller.gateway.engine_pool import EnginePool
-from pondtiller.gateway.forward import Forwarder
+from pondtiller.address import Address
+from pondtiller.gateway.callers.forward import Forwarder
+from pondtiller.gateway.engines.engine_pool import EnginePool
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.send_gate import SendGate
--- a/src/pondtiller/routes/tests/test_live_queue.py
+++ b/src/pondtiller/routes/tests/test_live_queue.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.routes.concurrency_limit import ConcurrencyLimit
 from pondtiller.routes.engines import Engine, EngineEntry, EngineState
 from pondtiller.routes.live_queue import (
--- a/src/pondtiller/routes/tests/test_routes.py
+++ b/src/pondtiller/routes/tests/test_routes.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.routes.engines import Engine, EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable, ServiceShare
 
--- a/src/pondtiller/routes/tests/test_send_gate.py
+++ b/src/pondtiller/routes/tests/test_send_gate.py
@@ -1,4 +1,4 @@
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.places import Places
 from pondtiller.routes.send_gate import Held, SendGate
--- a/src/pondtiller/core/entities.py
+++ b/src/pondtiller/serve/core/entities.py
@@ -3,17 +3,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from pondtiller.address import Address
 from pondtiller.coordination.retries import Breaker
-from pondtiller.core.tokens import Segment
 from pondtiller.errors import Failure
-
-
-@dataclass(frozen=True, slots=True)
-class Address:
-    """Where a process listens."""
-
-    host: str
-    port: int
+from pondtiller.serve.core.tokens import Segment
 
 
 @dataclass(slots=True)
--- a/src/pondtiller/core/events.py
+++ b/src/pondtiller/serve/core/events.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from pondtiller.core.entities import FinishedRequest, RequestSpec, Sample, StepKey
-from pondtiller.core.tokens import Chunk
 from pondtiller.errors import Ran
+from pondtiller.serve.core.entities import FinishedRequest, RequestSpec, Sample, StepKey
+from pondtiller.serve.core.tokens import Chunk
 from pondtiller.wire.envelope import Letter
 
 
--- a/src/pondtiller/core/instructions.py
+++ b/src/pondtiller/serve/core/instructions.py
@@ -2,10 +2,11 @@
 
 from dataclasses import dataclass
 
+from pondtiller.address import Address
 from pondtiller.coordination.registers.acceptor import JournalEntry
-from pondtiller.core.entities import Address, Sample, StepKey
-from pondtiller.core.tokens import Segment
 from pondtiller.errors import Failure
+from pondtiller.serve.core.entities import Sample, StepKey
+from pondtiller.serve.core.tokens import Segment
 from pondtiller.wire.envelope import Letter
 
 
--- a/src/pondtiller/core/world.py
+++ b/src/pondtiller/serve/core/world.py
@@ -6,6 +6,7 @@
 from enum import StrEnum
 from typing import Any, TypeVar
 
+from pondtiller.address import Address
 from pondtiller.coordination.deadlines import DeadlineIndex
 from pondtiller.coordination.documents import DocumentReplica
 from pondtiller.coordination.fair_queue import FairQueue
@@ -18,8 +19,7 @@
 from pondtiller.coordination.registers.reconfigurer import Reconfigurer
 from pondtiller.coordination.retries import RetryBudget
 from pondtiller.coordination.shares import Allocator, HeldShare
-from pondtiller.core.entities import (
-    Address,
+from pondtiller.serve.core.entities import (
     Attempt,
     Engine,
     Request,
@@ -29,8 +29,14 @@
     Step,
     StepKey,
 )
-from pondtiller.core.instructions import EngineOrder, Instruction, LogEvent, LogField, WriteStore
-from pondtiller.core.reports import DaemonReport
+from pondtiller.serve.core.instructions import (
+    EngineOrder,
+    Instruction,
+    LogEvent,
+    LogField,
+    WriteStore,
+)
+from pondtiller.serve.core.reports import DaemonReport
 from pondtiller.table.sheet import Row, Sheet
 
 EventType = TypeVar("EventType")
--- a/src/pondtiller/daemon/caller_api.py
+++ b/src/pondtiller/serve/daemon/caller_api.py
@@ -6,15 +6,15 @@
 import curio
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from pondtiller.core.entities import RequestSpec
-from pondtiller.core.events import CallerLeft, RequestArrived
-from pondtiller.core.instructions import FailAnswer, FinishAnswer, SendText
-from pondtiller.daemon import clock
-from pondtiller.daemon.runtime import Runtime
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.hashing import digest
 from pondtiller.httpio.messages import HttpRequest, json_response
 from pondtiller.httpio.server import ConnectionLostError, Exchange, failure_response
+from pondtiller.process import clock
+from pondtiller.serve.core.entities import RequestSpec
+from pondtiller.serve.core.events import CallerLeft, RequestArrived
+from pondtiller.serve.core.instructions import FailAnswer, FinishAnswer, SendText
+from pondtiller.serve.daemon.runtime import Runtime
 from pondtiller.table.sheet import RowKind, explain
 
 DEFAULT_MAXIMUM_TOKENS = 256
--- a/src/pondtiller/daemon/engine_client.py
+++ b/src/pondtiller/serve/daemon/engine_client.py
@@ -6,8 +6,10 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from pondtiller.core.constants import ORDER_TIMEOUT_SECONDS
-from pondtiller.core.events import (
+from pondtiller.errors import Ran
+from pondtiller.httpio.client import BrokenError, ClientConnection, HttpClient, NotSentError
+from pondtiller.serve.core.constants import ORDER_TIMEOUT_SECONDS
+from pondtiller.serve.core.events import (
     AttemptFailed,
     ChunkArrived,
     EnginePollFailed,
@@ -16,10 +18,8 @@
     OrderResult,
     VersionReport,
 )
-from pondtiller.core.instructions import OrderEngine, PollEngine, StartAttempt
-from pondtiller.core.tokens import Chunk
-from pondtiller.errors import Ran
-from pondtiller.httpio.client import BrokenError, ClientConnection, HttpClient, NotSentError
+from pondtiller.serve.core.instructions import OrderEngine, PollEngine, StartAttempt
+from pondtiller.serve.core.tokens import Chunk
 
 POLL_SECONDS = 1.0
 REFUSED_STATUS = 503
--- a/src/pondtiller/daemon/metrics.py
+++ b/src/pondtiller/serve/daemon/metrics.py
@@ -5,8 +5,8 @@
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-from pondtiller.daemon.peer_transport import PeerTransport
-from pondtiller.daemon.runtime import Runtime
+from pondtiller.serve.daemon.peer_transport import PeerTransport
+from pondtiller.serve.daemon.runtime import Runtime
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 
--- a/src/pondtiller/daemon/peer_transport.py
+++ b/src/pondtiller/serve/daemon/peer_transport.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.wire.envelope import Letter, decode, encode
 
 LARGEST_DATAGRAM = 8_000
--- a/src/pondtiller/daemon/platform_client.py
+++ b/src/pondtiller/serve/daemon/platform_client.py
@@ -6,9 +6,10 @@
 from pydantic import BaseModel, ConfigDict, JsonValue, ValidationError
 from result import Err, Ok, Result
 
-from pondtiller.core.constants import WATCH_SECONDS
-from pondtiller.core.entities import Address
-from pondtiller.core.events import (
+from pondtiller.address import Address
+from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
+from pondtiller.serve.core.constants import WATCH_SECONDS
+from pondtiller.serve.core.events import (
     ScoreArrived,
     StoredObject,
     StoreFailed,
@@ -17,8 +18,7 @@
     StoreWriteEnded,
     StoreWriteResult,
 )
-from pondtiller.core.instructions import ScoreSample, WatchStore, WriteStore
-from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
+from pondtiller.serve.core.instructions import ScoreSample, WatchStore, WriteStore
 
 CALL_SECONDS = 5.0
 EXPIRED_STATUS = 410
--- a/src/pondtiller/daemon/process.py
+++ b/src/pondtiller/serve/daemon/process.py
@@ -5,23 +5,24 @@
 
 import curio
 
+from pondtiller.address import Address
 from pondtiller.coordination.member import Member
-from pondtiller.core.entities import Address
-from pondtiller.core.events import DrainRequested
-from pondtiller.core.world import World, WorldSettings
-from pondtiller.daemon import clock, logs, metrics
-from pondtiller.daemon.caller_api import CallerApi
-from pondtiller.daemon.engine_client import EngineClient
-from pondtiller.daemon.journal import Journal
-from pondtiller.daemon.peer_transport import PeerTransport, bind_peer
-from pondtiller.daemon.platform_client import PlatformClient
-from pondtiller.daemon.runtime import Runtime
-from pondtiller.daemon.settings import DaemonSettings
-from pondtiller.daemon.trainer_api import TrainerApi
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.httpio.client import HttpClient
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import Exchange, bind_tcp, failure_response, serve_http
+from pondtiller.process import clock, logs
+from pondtiller.serve.core.events import DrainRequested
+from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.daemon import metrics
+from pondtiller.serve.daemon.caller_api import CallerApi
+from pondtiller.serve.daemon.engine_client import EngineClient
+from pondtiller.serve.daemon.journal import Journal
+from pondtiller.serve.daemon.peer_transport import PeerTransport, bind_peer
+from pondtiller.serve.daemon.platform_client import PlatformClient
+from pondtiller.serve.daemon.runtime import Runtime
+from pondtiller.serve.daemon.settings import DaemonSettings
+from pondtiller.serve.daemon.trainer_api import TrainerApi
 from pondtiller.table.sheet import DOCUMENT_NAME, RowKind
 
 LAST_ANSWERS_SECONDS = 0.2
--- a/src/pondtiller/daemon/runtime.py
+++ b/src/pondtiller/serve/daemon/runtime.py
@@ -4,8 +4,10 @@
 
 import curio
 
-from pondtiller.core.events import LetterArrived
-from pondtiller.core.instructions import (
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
+from pondtiller.serve.core.events import LetterArrived
+from pondtiller.serve.core.instructions import (
     AnswerSamples,
     AnswerTrainer,
     CancelAttempt,
@@ -27,14 +29,12 @@
     WriteJournal,
     WriteStore,
 )
-from pondtiller.core.world import World
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.engine_client import EngineClient
-from pondtiller.daemon.journal import Journal
-from pondtiller.daemon.peer_transport import PeerTransport
-from pondtiller.daemon.platform_client import PlatformClient
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.systems.tick import next_wakeup, tick
+from pondtiller.serve.core.world import World
+from pondtiller.serve.daemon.engine_client import EngineClient
+from pondtiller.serve.daemon.journal import Journal
+from pondtiller.serve.daemon.peer_transport import PeerTransport
+from pondtiller.serve.daemon.platform_client import PlatformClient
+from pondtiller.serve.systems.tick import next_wakeup, tick
 from pondtiller.wire.envelope import Letter
 
 LONGEST_SLEEP_SECONDS = 5.0
--- a/src/pondtiller/daemon/tests/conftest.py
+++ b/src/pondtiller/serve/daemon/tests/conftest.py
@@ -1,6 +1,6 @@
 import pytest
 
-from pondtiller.daemon.tests.harness import running
+from pondtiller.serve.daemon.tests.harness import running
 
 
 @pytest.fixture(scope="package")
--- a/src/pondtiller/daemon/tests/harness.py
+++ b/src/pondtiller/serve/daemon/tests/harness.py
@@ -6,10 +6,10 @@
 
 import curio
 
-from pondtiller.config.deployment import load_deployment
-from pondtiller.demo.run import build_daemons
-from pondtiller.emulator.server import build_emulator
 from pondtiller.httpio.client import HttpClient
+from pondtiller.serve.demo.run import build_daemons
+from pondtiller.serve.deployment import load_deployment
+from pondtiller.serve.emulator.server import build_emulator
 
 START_SECONDS = 30.0
 
--- a/src/pondtiller/daemon/tests/test_caller_api.py
+++ b/src/pondtiller/serve/daemon/tests/test_caller_api.py
@@ -6,7 +6,7 @@
 import openai
 import pytest
 
-from pondtiller.emulator.text import expected_answer
+from pondtiller.serve.emulator.text import expected_answer
 
 
 def client(service, number=0, **options):
--- a/src/pondtiller/daemon/tests/test_trainer_api.py
+++ b/src/pondtiller/serve/daemon/tests/test_trainer_api.py
@@ -1,8 +1,8 @@
 import httpx2 as httpx
 import pytest
 
-from pondtiller.emulator.scorer import score_sample
-from pondtiller.emulator.text import expected_answer
+from pondtiller.serve.emulator.scorer import score_sample
+from pondtiller.serve.emulator.text import expected_answer
 
 
 def base(service, number=0, trainer="drawing-policy"):
--- a/src/pondtiller/daemon/trainer_api.py
+++ b/src/pondtiller/serve/daemon/trainer_api.py
@@ -7,24 +7,24 @@
 import curio
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from pondtiller.core.entities import Sample, StepKey
-from pondtiller.core.events import (
+from pondtiller.errors import ErrorKind, Failure
+from pondtiller.httpio.messages import HttpResponse, json_response
+from pondtiller.httpio.server import Exchange, failure_response
+from pondtiller.serve.core.entities import Sample, StepKey
+from pondtiller.serve.core.events import (
     SamplesAcknowledged,
     SamplesRead,
     StepOpened,
     TrainerLeft,
     VersionPublished,
 )
-from pondtiller.core.instructions import (
+from pondtiller.serve.core.instructions import (
     AnswerSamples,
     AnswerTrainer,
     FailTrainer,
     RedirectTrainer,
 )
-from pondtiller.daemon.runtime import Runtime
-from pondtiller.errors import ErrorKind, Failure
-from pondtiller.httpio.messages import HttpResponse, json_response
-from pondtiller.httpio.server import Exchange, failure_response
+from pondtiller.serve.daemon.runtime import Runtime
 from pondtiller.table.sheet import explain
 
 ANSWER_SECONDS = 45.0
--- a/src/pondtiller/demo/load.py
+++ b/src/pondtiller/serve/demo/load.py
@@ -7,15 +7,15 @@
 import curio
 from hdrh.histogram import HdrHistogram
 
-from pondtiller.config.deployment import Traffic
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.errors import ErrorKind, Ran
 from pondtiller.hashing import digest
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 from pondtiller.httpio.messages import HttpResponse
-from pondtiller.simulation.truth import CallerRequest, CallerTry
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
+from pondtiller.serve.deployment import Traffic
+from pondtiller.serve.simulation.truth import CallerRequest, CallerTry
 
 CALL_SECONDS = 60.0
 MAXIMUM_TRIES = 3
--- a/src/pondtiller/demo/run.py
+++ b/src/pondtiller/serve/demo/run.py
@@ -6,23 +6,23 @@
 
 import curio
 
-from pondtiller.config.deployment import Deployment
-from pondtiller.core.entities import Address
-from pondtiller.core.instructions import EngineRequest
-from pondtiller.core.tokens import Chunk
-from pondtiller.daemon import clock
-from pondtiller.daemon.process import BoundSockets, DaemonProcess
-from pondtiller.daemon.settings import DaemonSettings, PeerSettings, PlatformSettings
-from pondtiller.daemon.signals import wait_for_stop
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.demo.load import LiveLoad
-from pondtiller.emulator.engine_server import EngineServer
-from pondtiller.emulator.fleet import trainer_settings
-from pondtiller.emulator.server import Emulator, build_emulator
-from pondtiller.emulator.trainer import TrainerModel
-from pondtiller.emulator.trainer_client import TrainerClient
-from pondtiller.simulation.checks import CheckSettings, Violation, check_all
-from pondtiller.simulation.truth import EngineStart, LeavingEngine, TokenRun, Truth
+from pondtiller.address import Address
+from pondtiller.process import clock
+from pondtiller.process.signals import wait_for_stop
+from pondtiller.process.spawner import Spawner
+from pondtiller.serve.core.instructions import EngineRequest
+from pondtiller.serve.core.tokens import Chunk
+from pondtiller.serve.daemon.process import BoundSockets, DaemonProcess
+from pondtiller.serve.daemon.settings import DaemonSettings, PeerSettings, PlatformSettings
+from pondtiller.serve.demo.load import LiveLoad
+from pondtiller.serve.deployment import Deployment
+from pondtiller.serve.emulator.engine_server import EngineServer
+from pondtiller.serve.emulator.fleet import trainer_settings
+from pondtiller.serve.emulator.server import Emulator, build_emulator
+from pondtiller.serve.emulator.trainer import TrainerModel
+from pondtiller.serve.emulator.trainer_client import TrainerClient
+from pondtiller.serve.simulation.checks import CheckSettings, Violation, check_all
+from pondtiller.serve.simulation.truth import EngineStart, LeavingEngine, TokenRun, Truth
 from pondtiller.table.sheet import RowKind
 
 HOST = "127.0.0.1"
--- a/src/pondtiller/config/deployment.py
+++ b/src/pondtiller/serve/deployment.py
@@ -7,7 +7,7 @@
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 from result import Err, Result
 
-from pondtiller.config.problems import Problem, load_toml, parse_toml
+from pondtiller.process.problems import Problem, load_toml, parse_toml
 from pondtiller.table.sheet import Name, Row
 
 Seconds = Annotated[float, Field(ge=0, le=86_400, allow_inf_nan=False)]
--- a/src/pondtiller/emulator/engine.py
+++ b/src/pondtiller/serve/emulator/engine.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from pondtiller.core.events import OrderResult
-from pondtiller.core.instructions import EngineOrder, EngineRequest
-from pondtiller.core.tokens import Chunk
-from pondtiller.emulator.text import (
+from pondtiller.hashing import digest
+from pondtiller.serve.core.events import OrderResult
+from pondtiller.serve.core.instructions import EngineOrder, EngineRequest
+from pondtiller.serve.core.tokens import Chunk
+from pondtiller.serve.emulator.text import (
     answer_length,
     pattern,
     prompt_tokens,
     text_between,
 )
-from pondtiller.emulator.weights import WeightStore
-from pondtiller.hashing import digest
+from pondtiller.serve.emulator.weights import WeightStore
 
 PREFIX_CHARACTERS = 256
 KEEP_ALIVE_SECONDS = 3.0
--- a/src/pondtiller/emulator/engine_server.py
+++ b/src/pondtiller/serve/emulator/engine_server.py
@@ -7,16 +7,7 @@
 import curio
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from pondtiller.core.entities import Address
-from pondtiller.core.instructions import EngineOrder, EngineRequest
-from pondtiller.core.tokens import Chunk
-from pondtiller.daemon import clock
-from pondtiller.emulator.engine import (
-    ChunkOutput,
-    EngineModel,
-    EngineOutput,
-    Submission,
-)
+from pondtiller.address import Address
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import (
@@ -25,6 +16,15 @@
     failure_response,
     serve_http,
 )
+from pondtiller.process import clock
+from pondtiller.serve.core.instructions import EngineOrder, EngineRequest
+from pondtiller.serve.core.tokens import Chunk
+from pondtiller.serve.emulator.engine import (
+    ChunkOutput,
+    EngineModel,
+    EngineOutput,
+    Submission,
+)
 from pondtiller.table.sheet import explain
 
 ChunkObserver = Callable[[str, Chunk], None]
--- a/src/pondtiller/emulator/fleet.py
+++ b/src/pondtiller/serve/emulator/fleet.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from pondtiller.config.deployment import Deployment
-from pondtiller.core.entities import Address
-from pondtiller.emulator.engine import EngineSettings
-from pondtiller.emulator.trainer import TrainerSettings
+from pondtiller.address import Address
+from pondtiller.serve.deployment import Deployment
+from pondtiller.serve.emulator.engine import EngineSettings
+from pondtiller.serve.emulator.trainer import TrainerSettings
 from pondtiller.table.sheet import Sheet
 
 
--- a/src/pondtiller/emulator/platform_server.py
+++ b/src/pondtiller/serve/emulator/platform_server.py
@@ -6,13 +6,13 @@
 import curio
 from pydantic import BaseModel, ConfigDict, JsonValue, ValidationError
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
-from pondtiller.emulator.object_store import ObjectStore, PutStatus, StoredBody
-from pondtiller.emulator.scorer import score_sample
+from pondtiller.address import Address
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import Exchange, failure_response, serve_http
+from pondtiller.process import clock
+from pondtiller.serve.emulator.object_store import ObjectStore, PutStatus, StoredBody
+from pondtiller.serve.emulator.scorer import score_sample
 from pondtiller.table.sheet import explain
 
 OBJECTS_PATH = "/api/v1/objects"
--- a/src/pondtiller/emulator/server.py
+++ b/src/pondtiller/serve/emulator/server.py
@@ -5,17 +5,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pondtiller.config.deployment import Deployment
-from pondtiller.core.constants import FLEET_DOCUMENT
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.emulator.engine import EngineModel
-from pondtiller.emulator.engine_server import EngineServer
-from pondtiller.emulator.fleet import engine_settings, first_sheet, fleet_entry
-from pondtiller.emulator.object_store import ObjectStore
-from pondtiller.emulator.platform_server import PlatformServer
-from pondtiller.emulator.weights import WeightStore
 from pondtiller.httpio.server import bind_tcp
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
+from pondtiller.serve.core.constants import FLEET_DOCUMENT
+from pondtiller.serve.deployment import Deployment
+from pondtiller.serve.emulator.engine import EngineModel
+from pondtiller.serve.emulator.engine_server import EngineServer
+from pondtiller.serve.emulator.fleet import engine_settings, first_sheet, fleet_entry
+from pondtiller.serve.emulator.object_store import ObjectStore
+from pondtiller.serve.emulator.platform_server import PlatformServer
+from pondtiller.serve.emulator.weights import WeightStore
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 
--- a/src/pondtiller/emulator/trainer_client.py
+++ b/src/pondtiller/serve/emulator/trainer_client.py
@@ -7,10 +7,14 @@
 
 import curio
 
-from pondtiller.core.entities import Address, Sample
-from pondtiller.core.tokens import Segment
-from pondtiller.daemon import clock
-from pondtiller.emulator.trainer import (
+from pondtiller.address import Address
+from pondtiller.errors import ErrorKind
+from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
+from pondtiller.httpio.messages import HttpResponse
+from pondtiller.process import clock
+from pondtiller.serve.core.entities import Sample
+from pondtiller.serve.core.tokens import Segment
+from pondtiller.serve.emulator.trainer import (
     Acknowledge,
     OpenStep,
     Publish,
@@ -18,9 +22,6 @@
     TrainerCall,
     TrainerModel,
 )
-from pondtiller.errors import ErrorKind
-from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
-from pondtiller.httpio.messages import HttpResponse
 
 CALL_SECONDS = 40.0
 MAXIMUM_REDIRECTS = 3
--- a/src/pondtiller/simulation/callers.py
+++ b/src/pondtiller/serve/simulation/callers.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from pondtiller.config.deployment import Deployment, Traffic
-from pondtiller.core.entities import RequestSpec
-from pondtiller.core.events import RequestArrived
-from pondtiller.core.instructions import FailAnswer, FinishAnswer, SendText
 from pondtiller.errors import ErrorKind, Ran
 from pondtiller.hashing import digest
-from pondtiller.simulation.daemon import CallerAnswer, DaemonNode
-from pondtiller.simulation.scheduler import Scheduler
-from pondtiller.simulation.truth import BrokenConnection, CallerRequest, CallerTry, Truth
+from pondtiller.serve.core.entities import RequestSpec
+from pondtiller.serve.core.events import RequestArrived
+from pondtiller.serve.core.instructions import FailAnswer, FinishAnswer, SendText
+from pondtiller.serve.deployment import Deployment, Traffic
+from pondtiller.serve.simulation.daemon import CallerAnswer, DaemonNode
+from pondtiller.serve.simulation.scheduler import Scheduler
+from pondtiller.serve.simulation.truth import BrokenConnection, CallerRequest, CallerTry, Truth
 from pondtiller.table.sheet import RowKind
 
 MAXIMUM_TRIES = 4
--- a/src/pondtiller/simulation/checks.py
+++ b/src/pondtiller/serve/simulation/checks.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from pondtiller.emulator.text import expected_answer
-from pondtiller.emulator.trainer import ReceivedSample
 from pondtiller.errors import Ran
-from pondtiller.simulation.truth import AcceptedEdit, TokenRun, Truth
+from pondtiller.serve.emulator.text import expected_answer
+from pondtiller.serve.emulator.trainer import ReceivedSample
+from pondtiller.serve.simulation.truth import AcceptedEdit, TokenRun, Truth
 
 LEAVING_SECONDS = 5.0
 IN_FORCE_SECONDS = 8.0
--- a/src/pondtiller/simulation/cluster.py
+++ b/src/pondtiller/serve/simulation/cluster.py
@@ -3,25 +3,30 @@
 import json
 import random
 
-from pondtiller.config.deployment import Deployment
+from pondtiller.address import Address
 from pondtiller.coordination.member import Member
-from pondtiller.core.constants import FLEET_DOCUMENT
-from pondtiller.core.entities import Address
-from pondtiller.emulator.engine import EngineModel
-from pondtiller.emulator.fleet import engine_settings, first_sheet, fleet_entry, trainer_settings
-from pondtiller.emulator.object_store import ObjectStore
-from pondtiller.emulator.trainer import TrainerModel
-from pondtiller.emulator.weights import WeightStore
-from pondtiller.simulation.callers import Callers
-from pondtiller.simulation.cluster_settings import ClusterSettings
-from pondtiller.simulation.daemon import DaemonNode, Surroundings
-from pondtiller.simulation.engines import EngineNode
-from pondtiller.simulation.network import Network
-from pondtiller.simulation.operators import Operators
-from pondtiller.simulation.platform import PlatformNode
-from pondtiller.simulation.scheduler import Scheduler
-from pondtiller.simulation.trainers import TrainerNode
-from pondtiller.simulation.truth import AcceptedEdit, InProgress, LeavingEngine, Truth
+from pondtiller.serve.core.constants import FLEET_DOCUMENT
+from pondtiller.serve.deployment import Deployment
+from pondtiller.serve.emulator.engine import EngineModel
+from pondtiller.serve.emulator.fleet import (
+    engine_settings,
+    first_sheet,
+    fleet_entry,
+    trainer_settings,
+)
+from pondtiller.serve.emulator.object_store import ObjectStore
+from pondtiller.serve.emulator.trainer import TrainerModel
+from pondtiller.serve.emulator.weights import WeightStore
+from pondtiller.serve.simulation.callers import Callers
+from pondtiller.serve.simulation.cluster_settings import ClusterSettings
+from pondtiller.serve.simulation.daemon import DaemonNode, Surroundings
+from pondtiller.serve.simulation.engines import EngineNode
+from pondtiller.serve.simulation.network import Network
+from pondtiller.serve.simulation.operators import Operators
+from pondtiller.serve.simulation.platform import PlatformNode
+from pondtiller.serve.simulation.scheduler import Scheduler
+from pondtiller.serve.simulation.trainers import TrainerNode
+from pondtiller.serve.simulation.truth import AcceptedEdit, InProgress, LeavingEngine, Truth
 from pondtiller.table.sheet import DOCUMENT_NAME, RowKind, Sheet
 
 FLEET_LAG_SECONDS = 2.0
--- a/src/pondtiller/simulation/daemon.py
+++ b/src/pondtiller/serve/simulation/daemon.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, field
 
 from pondtiller.coordination.member import Member
-from pondtiller.core.events import (
+from pondtiller.serve.core.events import (
     CallerLeft,
     DrainRequested,
     LetterArrived,
     RequestArrived,
     ScoreArrived,
 )
-from pondtiller.core.instructions import (
+from pondtiller.serve.core.instructions import (
     AnswerSamples,
     AnswerTrainer,
     CancelAttempt,
@@ -34,14 +34,14 @@
     WriteJournal,
     WriteStore,
 )
-from pondtiller.core.world import World, WorldSettings
-from pondtiller.emulator.scorer import score_sample
-from pondtiller.simulation.cluster_settings import ClusterSettings
-from pondtiller.simulation.engines import EngineNode
-from pondtiller.simulation.network import Network
-from pondtiller.simulation.platform import PlatformNode
-from pondtiller.simulation.scheduler import Scheduler
-from pondtiller.systems.tick import next_wakeup, tick
+from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.emulator.scorer import score_sample
+from pondtiller.serve.simulation.cluster_settings import ClusterSettings
+from pondtiller.serve.simulation.engines import EngineNode
+from pondtiller.serve.simulation.network import Network
+from pondtiller.serve.simulation.platform import PlatformNode
+from pondtiller.serve.simulation.scheduler import Scheduler
+from pondtiller.serve.systems.tick import next_wakeup, tick
 from pondtiller.table.sheet import DOCUMENT_NAME
 from pondtiller.wire.envelope import Letter, decode, encode
 
--- a/src/pondtiller/simulation/engines.py
+++ b/src/pondtiller/serve/simulation/engines.py
@@ -3,7 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pondtiller.core.events import (
+from pondtiller.errors import Ran
+from pondtiller.serve.core.events import (
     AttemptFailed,
     ChunkArrived,
     EnginePollFailed,
@@ -12,18 +13,17 @@
     OrderResult,
     VersionReport,
 )
-from pondtiller.core.instructions import EngineOrder, EngineRequest
-from pondtiller.core.tokens import Chunk
-from pondtiller.emulator.engine import (
+from pondtiller.serve.core.instructions import EngineOrder, EngineRequest
+from pondtiller.serve.core.tokens import Chunk
+from pondtiller.serve.emulator.engine import (
     ChunkOutput,
     EngineModel,
     EngineOutput,
     Submission,
 )
-from pondtiller.errors import Ran
-from pondtiller.simulation.network import Network
-from pondtiller.simulation.scheduler import Scheduler
-from pondtiller.simulation.truth import EngineStart, OrderSeen, TokenRun, Truth
+from pondtiller.serve.simulation.network import Network
+from pondtiller.serve.simulation.scheduler import Scheduler
+from pondtiller.serve.simulation.truth import EngineStart, OrderSeen, TokenRun, Truth
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 
--- a/src/pondtiller/simulation/faults.py
+++ b/src/pondtiller/serve/simulation/faults.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from pondtiller.simulation.cluster import Cluster
+from pondtiller.serve.simulation.cluster import Cluster
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/simulation/measures.py
+++ b/src/pondtiller/serve/simulation/measures.py
@@ -4,10 +4,10 @@
 
 from pydantic import BaseModel, ConfigDict
 
-from pondtiller.simulation.checks import oldest_made
-from pondtiller.simulation.cluster import Cluster
-from pondtiller.simulation.truth import CallerRequest, Truth
-from pondtiller.systems.status import quantile
+from pondtiller.serve.simulation.checks import oldest_made
+from pondtiller.serve.simulation.cluster import Cluster
+from pondtiller.serve.simulation.truth import CallerRequest, Truth
+from pondtiller.serve.systems.status import quantile
 
 
 class TrainerMeasures(BaseModel):
--- a/src/pondtiller/simulation/network.py
+++ b/src/pondtiller/serve/simulation/network.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pondtiller.config.deployment import Latencies
-from pondtiller.simulation.scheduler import Scheduler
+from pondtiller.serve.deployment import Latencies
+from pondtiller.serve.simulation.scheduler import Scheduler
 
 JITTER_SHARE = 0.5
 
--- a/src/pondtiller/simulation/operators.py
+++ b/src/pondtiller/serve/simulation/operators.py
@@ -3,14 +3,14 @@
 import random
 from dataclasses import dataclass, field
 
-from pondtiller.core.events import (
+from pondtiller.serve.core.events import (
     StoredObject,
     StoreListed,
     StoreWriteEnded,
     StoreWriteResult,
 )
-from pondtiller.simulation.platform import PlatformNode
-from pondtiller.simulation.scheduler import Scheduler
+from pondtiller.serve.simulation.platform import PlatformNode
+from pondtiller.serve.simulation.scheduler import Scheduler
 from pondtiller.table.editor import EditOutcome, EditStatus, ReadTable, TableEditor
 from pondtiller.table.sheet import DOCUMENT_NAME, CellChange, Edit, RowKind, Sheet
 
--- a/src/pondtiller/simulation/platform.py
+++ b/src/pondtiller/serve/simulation/platform.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pondtiller.core.events import (
+from pondtiller.serve.core.events import (
     StoredObject,
     StoreFailed,
     StoreListed,
@@ -12,8 +12,8 @@
     StoreWriteEnded,
     StoreWriteResult,
 )
-from pondtiller.emulator.object_store import Listing, ObjectStore, PutStatus
-from pondtiller.simulation.scheduler import Scheduler
+from pondtiller.serve.emulator.object_store import Listing, ObjectStore, PutStatus
+from pondtiller.serve.simulation.scheduler import Scheduler
 
 ANSWER_SECONDS = 0.005
 TIMEOUT_SECONDS = 2.0
--- a/src/pondtiller/simulation/run.py
+++ b/src/pondtiller/serve/simulation/run.py
@@ -4,15 +4,21 @@
 
 from pydantic import BaseModel, ConfigDict
 
-from pondtiller.config.deployment import Deployment
-from pondtiller.core.world import Mechanisms
-from pondtiller.simulation.checks import CheckSettings, Property, Violation, check_all
-from pondtiller.simulation.cluster import Cluster
-from pondtiller.simulation.cluster_settings import ClusterSettings
-from pondtiller.simulation.faults import CrashDaemon, CutZones, Fault, PauseDaemon, StoreOutage
-from pondtiller.simulation.faults import schedule as schedule_faults
-from pondtiller.simulation.measures import Measures, measure
-from pondtiller.simulation.scenarios import SCENARIOS, Setting
+from pondtiller.serve.core.world import Mechanisms
+from pondtiller.serve.deployment import Deployment
+from pondtiller.serve.simulation.checks import CheckSettings, Property, Violation, check_all
+from pondtiller.serve.simulation.cluster import Cluster
+from pondtiller.serve.simulation.cluster_settings import ClusterSettings
+from pondtiller.serve.simulation.faults import (
+    CrashDaemon,
+    CutZones,
+    Fault,
+    PauseDaemon,
+    StoreOutage,
+)
+from pondtiller.serve.simulation.faults import schedule as schedule_faults
+from pondtiller.serve.simulation.measures import Measures, measure
+from pondtiller.serve.simulation.scenarios import SCENARIOS, Setting
 from pondtiller.table.sheet import DOCUMENT_NAME, RowKind, Sheet
 
 SETTLE_SECONDS = 60.0
--- a/src/pondtiller/simulation/scenarios.py
+++ b/src/pondtiller/serve/simulation/scenarios.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pondtiller.config.deployment import Deployment
-from pondtiller.simulation.faults import (
+from pondtiller.serve.deployment import Deployment
+from pondtiller.serve.simulation.faults import (
     CrashDaemon,
     CrashEngine,
     CutZones,
--- a/src/pondtiller/simulation/tests/test_checks.py
+++ b/src/pondtiller/serve/simulation/tests/test_checks.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from pondtiller.config.deployment import load_deployment
-from pondtiller.core.world import Mechanisms
-from pondtiller.simulation.checks import Property
-from pondtiller.simulation.cluster import Cluster
-from pondtiller.simulation.cluster_settings import ClusterSettings
-from pondtiller.simulation.faults import (
+from pondtiller.serve.core.world import Mechanisms
+from pondtiller.serve.deployment import load_deployment
+from pondtiller.serve.simulation.checks import Property
+from pondtiller.serve.simulation.cluster import Cluster
+from pondtiller.serve.simulation.cluster_settings import ClusterSettings
+from pondtiller.serve.simulation.faults import (
     CrashDaemon,
     CrashEngine,
     EditTable,
@@ -18,7 +18,7 @@
     StopDaemon,
     StoreTrouble,
 )
-from pondtiller.simulation.run import RunSettings, run_faults
+from pondtiller.serve.simulation.run import RunSettings, run_faults
 
 SECONDS = 60.0
 KYUSHU = load_deployment("kyushu").unwrap()
--- a/src/pondtiller/simulation/tests/test_growth.py
+++ b/src/pondtiller/serve/simulation/tests/test_growth.py
@@ -4,11 +4,11 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from pondtiller.config.deployment import Deployment, EngineGroup, Latencies, WeightSection
-from pondtiller.core.events import VersionPublished
-from pondtiller.simulation.cluster import Cluster
-from pondtiller.simulation.cluster_settings import ClusterSettings
-from pondtiller.simulation.daemon import ControlCosts
+from pondtiller.serve.core.events import VersionPublished
+from pondtiller.serve.deployment import Deployment, EngineGroup, Latencies, WeightSection
+from pondtiller.serve.simulation.cluster import Cluster
+from pondtiller.serve.simulation.cluster_settings import ClusterSettings
+from pondtiller.serve.simulation.daemon import ControlCosts
 from pondtiller.table.sheet import Row, RowKind
 
 LARGEST_GROWTH = 1.25
--- a/src/pondtiller/simulation/tests/test_run.py
+++ b/src/pondtiller/serve/simulation/tests/test_run.py
@@ -1,8 +1,8 @@
 import pytest
 
-from pondtiller.config.deployment import load_deployment
-from pondtiller.simulation.run import RunSettings, run_scenario
-from pondtiller.simulation.scenarios import SCENARIOS
+from pondtiller.serve.deployment import load_deployment
+from pondtiller.serve.simulation.run import RunSettings, run_scenario
+from pondtiller.serve.simulation.scenarios import SCENARIOS
 
 
 @pytest.mark.parametrize("scenario", list(SCENARIOS))
--- a/src/pondtiller/simulation/trainers.py
+++ b/src/pondtiller/serve/simulation/trainers.py
@@ -4,21 +4,22 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pondtiller.core.entities import StepKey
-from pondtiller.core.events import (
+from pondtiller.errors import ErrorKind
+from pondtiller.serve.core.entities import StepKey
+from pondtiller.serve.core.events import (
     SamplesAcknowledged,
     SamplesRead,
     StepOpened,
     TrainerLeft,
     VersionPublished,
 )
-from pondtiller.core.instructions import (
+from pondtiller.serve.core.instructions import (
     AnswerSamples,
     AnswerTrainer,
     FailTrainer,
     RedirectTrainer,
 )
-from pondtiller.emulator.trainer import (
+from pondtiller.serve.emulator.trainer import (
     Acknowledge,
     OpenStep,
     Publish,
@@ -26,9 +27,8 @@
     TrainerCall,
     TrainerModel,
 )
-from pondtiller.errors import ErrorKind
-from pondtiller.simulation.daemon import DaemonNode, TrainerAnswer
-from pondtiller.simulation.scheduler import Scheduler
+from pondtiller.serve.simulation.daemon import DaemonNode, TrainerAnswer
+from pondtiller.serve.simulation.scheduler import Scheduler
 
 TIMEOUT_SECONDS = 10.0
 MAXIMUM_REDIRECTS = 3
--- a/src/pondtiller/simulation/truth.py
+++ b/src/pondtiller/serve/simulation/truth.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from pondtiller.config.deployment import Traffic
-from pondtiller.emulator.trainer import ReceivedSample
 from pondtiller.errors import ErrorKind, Ran
+from pondtiller.serve.deployment import Traffic
+from pondtiller.serve.emulator.trainer import ReceivedSample
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/systems/admission.py
+++ b/src/pondtiller/serve/systems/admission.py
@@ -1,12 +1,12 @@
 """Admits requests: row, readiness, queue bound and the row's share of its limit."""
 
-from pondtiller.core import constants
-from pondtiller.core.entities import Request, RequestSpec, RequestState
-from pondtiller.core.events import ClaimNeeded, RequestArrived, RolloutStarted, ShareObtained
-from pondtiller.core.instructions import FailAnswer
-from pondtiller.core.world import TimerKind, World
 from pondtiller.errors import ErrorKind, Failure
-from pondtiller.systems import lifecycle, limits
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import Request, RequestSpec, RequestState
+from pondtiller.serve.core.events import ClaimNeeded, RequestArrived, RolloutStarted, ShareObtained
+from pondtiller.serve.core.instructions import FailAnswer
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems import lifecycle, limits
 from pondtiller.table.sheet import Row, RowKind
 
 
--- a/src/pondtiller/systems/attempts.py
+++ b/src/pondtiller/serve/systems/attempts.py
@@ -1,16 +1,16 @@
 """Attempts on engines: takes chunks in order, checks versions, retries what failed."""
 
 from pondtiller.coordination.retries import RetryBudget
-from pondtiller.core import constants
-from pondtiller.core.entities import Attempt, Request
-from pondtiller.core.events import AttemptFailed, ChunkArrived
-from pondtiller.core.instructions import SendText
-from pondtiller.core.tokens import Chunk, extend_segments
-from pondtiller.core.world import TimerKind, World
 from pondtiller.errors import ErrorKind, Failure, Ran
 from pondtiller.hashing import digest
-from pondtiller.systems import lifecycle
-from pondtiller.systems.peers import note_leaving
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import Attempt, Request
+from pondtiller.serve.core.events import AttemptFailed, ChunkArrived
+from pondtiller.serve.core.instructions import SendText
+from pondtiller.serve.core.tokens import Chunk, extend_segments
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems import lifecycle
+from pondtiller.serve.systems.peers import note_leaving
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/systems/claims.py
+++ b/src/pondtiller/serve/systems/claims.py
@@ -7,13 +7,13 @@
 from pondtiller import wire
 from pondtiller.coordination.member import MemberStatus
 from pondtiller.coordination.registers.proposer import OutcomeStatus, RegisterOutcome
-from pondtiller.core import constants
-from pondtiller.core.entities import Request, RequestState
-from pondtiller.core.events import ClaimNeeded
-from pondtiller.core.world import TimerKind, World
 from pondtiller.errors import ErrorKind, Failure
-from pondtiller.systems import lifecycle
-from pondtiller.systems.registers import change_register, is_available
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import Request, RequestState
+from pondtiller.serve.core.events import ClaimNeeded
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems import lifecycle
+from pondtiller.serve.systems.registers import change_register, is_available
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/systems/dispatch.py
+++ b/src/pondtiller/serve/systems/dispatch.py
@@ -1,12 +1,12 @@
 """Chooses what runs next and where: fair queueing over rows, two choices among engines."""
 
-from pondtiller.core import constants
-from pondtiller.core.entities import Attempt, Engine, Request, RequestState
-from pondtiller.core.events import RequestQueued
-from pondtiller.core.instructions import EngineRequest, StartAttempt
-from pondtiller.core.world import PrefixHint, TimerKind, World
-from pondtiller.systems.engine_choice import cheaper_of_two, prefix_key
-from pondtiller.systems.fleet import is_usable
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import Attempt, Engine, Request, RequestState
+from pondtiller.serve.core.events import RequestQueued
+from pondtiller.serve.core.instructions import EngineRequest, StartAttempt
+from pondtiller.serve.core.world import PrefixHint, TimerKind, World
+from pondtiller.serve.systems.engine_choice import cheaper_of_two, prefix_key
+from pondtiller.serve.systems.fleet import is_usable
 
 RETRY_SECONDS = 0.25
 KEPT_HINTS = 4096
--- a/src/pondtiller/systems/drain.py
+++ b/src/pondtiller/serve/systems/drain.py
@@ -1,9 +1,9 @@
 """Planned stop: announce it, take nothing new, finish what is in progress, then end."""
 
-from pondtiller.core.events import DrainRequested
-from pondtiller.core.instructions import Drained
-from pondtiller.core.world import TimerKind, World
-from pondtiller.systems.registers import candidates
+from pondtiller.serve.core.events import DrainRequested
+from pondtiller.serve.core.instructions import Drained
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems.registers import candidates
 
 CHECK_SECONDS = 0.2
 ANNOUNCE_SECONDS = 1.0
--- a/src/pondtiller/systems/engine_choice.py
+++ b/src/pondtiller/serve/systems/engine_choice.py
@@ -1,9 +1,9 @@
 """Which of the engines with room gets a request: the cheaper of two that are drawn."""
 
-from pondtiller.core import constants
-from pondtiller.core.entities import Engine, Request
-from pondtiller.core.world import World
 from pondtiller.hashing import score
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import Engine, Request
+from pondtiller.serve.core.world import World
 
 
 def cheaper_of_two(world: World, request: Request, able: list[Engine], now: float) -> Engine:
--- a/src/pondtiller/systems/fleet.py
+++ b/src/pondtiller/serve/systems/fleet.py
@@ -2,14 +2,15 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
+from pondtiller.address import Address
 from pondtiller.coordination.documents import Document
-from pondtiller.core import constants
-from pondtiller.core.entities import Address, Engine
-from pondtiller.core.events import EnginePollFailed, EngineReported
-from pondtiller.core.instructions import PollEngine
-from pondtiller.core.world import TimerKind, World
 from pondtiller.hashing import rank
-from pondtiller.systems.peers import note_leaving, note_version
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import Engine
+from pondtiller.serve.core.events import EnginePollFailed, EngineReported
+from pondtiller.serve.core.instructions import PollEngine
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems.peers import note_leaving, note_version
 
 
 class FleetEngine(BaseModel):
--- a/src/pondtiller/systems/lifecycle.py
+++ b/src/pondtiller/serve/systems/lifecycle.py
@@ -2,15 +2,15 @@
 
 from pondtiller import wire
 from pondtiller.coordination.registers.proposer import RegisterOutcome
-from pondtiller.core import constants
-from pondtiller.core.entities import FinishedRequest, Request, RequestState
-from pondtiller.core.events import RequestFinished, RequestQueued
-from pondtiller.core.instructions import CancelAttempt, FailAnswer, FinishAnswer
-from pondtiller.core.world import OutcomeHandler, TimerKind, World
 from pondtiller.errors import ErrorKind, Failure, Ran
 from pondtiller.hashing import digest
-from pondtiller.systems import limits
-from pondtiller.systems.registers import change_register
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import FinishedRequest, Request, RequestState
+from pondtiller.serve.core.events import RequestFinished, RequestQueued
+from pondtiller.serve.core.instructions import CancelAttempt, FailAnswer, FinishAnswer
+from pondtiller.serve.core.world import OutcomeHandler, TimerKind, World
+from pondtiller.serve.systems import limits
+from pondtiller.serve.systems.registers import change_register
 
 KEPT_LATENCIES = 256
 
--- a/src/pondtiller/systems/limits.py
+++ b/src/pondtiller/serve/systems/limits.py
@@ -11,13 +11,13 @@
     HolderKey,
     pace,
 )
-from pondtiller.core import constants
-from pondtiller.core.entities import RequestState
-from pondtiller.core.events import ShareObtained
-from pondtiller.core.world import TimerKind, World
 from pondtiller.hashing import owner
-from pondtiller.systems.peers import ShareMessageArrived
-from pondtiller.systems.registers import change_register, is_available
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import RequestState
+from pondtiller.serve.core.events import ShareObtained
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems.peers import ShareMessageArrived
+from pondtiller.serve.systems.registers import change_register, is_available
 
 IDLE_HEADROOM = 1
 FIRST_ROUND_SECONDS = 0.005
--- a/src/pondtiller/systems/peers.py
+++ b/src/pondtiller/serve/systems/peers.py
@@ -4,9 +4,9 @@
 
 from pondtiller import wire
 from pondtiller.coordination.outbound import Outbound
-from pondtiller.core.events import LetterArrived
-from pondtiller.core.instructions import SendPeer
-from pondtiller.core.world import TimerKind, World
+from pondtiller.serve.core.events import LetterArrived
+from pondtiller.serve.core.instructions import SendPeer
+from pondtiller.serve.core.world import TimerKind, World
 from pondtiller.wire.envelope import GOSSIPING, Letter, PeerMessage
 
 
--- a/src/pondtiller/systems/readiness.py
+++ b/src/pondtiller/serve/systems/readiness.py
@@ -1,7 +1,7 @@
 """Decides when a daemon may serve: not before it knows the newest table."""
 
-from pondtiller.core import constants
-from pondtiller.core.world import TimerKind, World
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.world import TimerKind, World
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 CHECK_SECONDS = 0.2
--- a/src/pondtiller/systems/registers.py
+++ b/src/pondtiller/serve/systems/registers.py
@@ -16,11 +16,11 @@
 )
 from pondtiller.coordination.registers.proposer import Change, OutcomeStatus, RegisterOutcome
 from pondtiller.coordination.registers.reconfigurer import Candidate, SuccessorProposal
-from pondtiller.core import constants
-from pondtiller.core.instructions import WriteJournal, WriteStore
-from pondtiller.core.world import OutcomeHandler, TimerKind, World
 from pondtiller.hashing import owner
-from pondtiller.systems.peers import RegisterMessageArrived
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.instructions import WriteJournal, WriteStore
+from pondtiller.serve.core.world import OutcomeHandler, TimerKind, World
+from pondtiller.serve.systems.peers import RegisterMessageArrived
 
 ABANDONED_SEAL_SECONDS = 3.0
 SUCCESSOR_TIMEOUT_SECONDS = 5.0
--- a/src/pondtiller/systems/requests.py
+++ b/src/pondtiller/serve/systems/requests.py
@@ -1,10 +1,10 @@
 """Ends requests whose deadline has passed or whose caller has left."""
 
-from pondtiller.core.entities import Request, RequestState
-from pondtiller.core.events import CallerLeft
-from pondtiller.core.world import TimerKind, World
 from pondtiller.errors import ErrorKind, Failure
-from pondtiller.systems import lifecycle
+from pondtiller.serve.core.entities import Request, RequestState
+from pondtiller.serve.core.events import CallerLeft
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems import lifecycle
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/systems/slots.py
+++ b/src/pondtiller/serve/systems/slots.py
@@ -6,8 +6,9 @@
 
 from dataclasses import replace
 
-from pondtiller.core import constants
-from pondtiller.core.entities import (
+from pondtiller.errors import ErrorKind, Failure
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import (
     Request,
     RequestSpec,
     Sample,
@@ -17,17 +18,16 @@
     Step,
     StepKey,
 )
-from pondtiller.core.events import (
+from pondtiller.serve.core.events import (
     RequestFinished,
     RolloutStarted,
     SampleCommitted,
     ScoreArrived,
 )
-from pondtiller.core.instructions import ScoreSample
-from pondtiller.core.tokens import oldest_version
-from pondtiller.core.world import TimerKind, World
-from pondtiller.errors import ErrorKind, Failure
-from pondtiller.systems import lifecycle
+from pondtiller.serve.core.instructions import ScoreSample
+from pondtiller.serve.core.tokens import oldest_version
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems import lifecycle
 from pondtiller.table.sheet import Row, RowKind
 
 SCORE_AGAIN_SECONDS = 0.5
--- a/src/pondtiller/systems/status.py
+++ b/src/pondtiller/serve/systems/status.py
@@ -6,13 +6,13 @@
 
 from pondtiller import wire
 from pondtiller.coordination.outbound import Outbound
-from pondtiller.core import constants
-from pondtiller.core.entities import RowCounts
-from pondtiller.core.instructions import WriteStore
-from pondtiller.core.reports import DaemonReport, RowFigures
-from pondtiller.core.world import MemberReport, TimerKind, World
 from pondtiller.hashing import owner
-from pondtiller.systems.peers import StatusMessageArrived
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import RowCounts
+from pondtiller.serve.core.instructions import WriteStore
+from pondtiller.serve.core.reports import DaemonReport, RowFigures
+from pondtiller.serve.core.world import MemberReport, TimerKind, World
+from pondtiller.serve.systems.peers import StatusMessageArrived
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 FORGET_SECONDS = 60.0
--- a/src/pondtiller/systems/steps.py
+++ b/src/pondtiller/serve/systems/steps.py
@@ -5,17 +5,12 @@
 trainer at its cursor; slots before the cursor are never made again.
 """
 
-from pondtiller.core import constants
-from pondtiller.core.entities import (
-    Address,
-    Sample,
-    SamplePoll,
-    Slot,
-    SlotState,
-    Step,
-    StepKey,
-)
-from pondtiller.core.events import (
+from pondtiller.address import Address
+from pondtiller.errors import ErrorKind, Failure
+from pondtiller.hashing import digest, owner
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import Sample, SamplePoll, Slot, SlotState, Step, StepKey
+from pondtiller.serve.core.events import (
     SampleCommitted,
     SamplesAcknowledged,
     SamplesRead,
@@ -23,17 +18,15 @@
     TrainerLeft,
     VersionPublished,
 )
-from pondtiller.core.instructions import (
+from pondtiller.serve.core.instructions import (
     AnswerSamples,
     AnswerTrainer,
     FailTrainer,
     RedirectTrainer,
 )
-from pondtiller.core.world import TimerKind, World
-from pondtiller.errors import ErrorKind, Failure
-from pondtiller.hashing import digest, owner
-from pondtiller.systems import slots
-from pondtiller.systems.peers import note_version
+from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.systems import slots
+from pondtiller.serve.systems.peers import note_version
 
 IDLE_STEP_SECONDS = 60.0
 
--- a/src/pondtiller/systems/steward.py
+++ b/src/pondtiller/serve/systems/steward.py
@@ -8,13 +8,13 @@
 from pondtiller import wire
 from pondtiller.coordination.registers.proposer import OutcomeStatus, RegisterOutcome
 from pondtiller.coordination.retries import Backoff
-from pondtiller.core import constants
-from pondtiller.core.entities import Engine
-from pondtiller.core.events import OrderAnswered, OrderResult
-from pondtiller.core.instructions import EngineOrder, OrderEngine
-from pondtiller.core.world import EngineDuty, TimerKind, World
 from pondtiller.hashing import owner, score
-from pondtiller.systems.registers import change_register
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.entities import Engine
+from pondtiller.serve.core.events import OrderAnswered, OrderResult
+from pondtiller.serve.core.instructions import EngineOrder, OrderEngine
+from pondtiller.serve.core.world import EngineDuty, TimerKind, World
+from pondtiller.serve.systems.registers import change_register
 
 CHECK_SECONDS = 0.5
 PREFETCH = "prefetch"
--- a/src/pondtiller/systems/store.py
+++ b/src/pondtiller/serve/systems/store.py
@@ -8,8 +8,9 @@
 from pondtiller.coordination.documents import Document
 from pondtiller.coordination.registers import configuration as replica_configuration
 from pondtiller.coordination.retries import RetryBudget
-from pondtiller.core import constants
-from pondtiller.core.events import (
+from pondtiller.hashing import rank
+from pondtiller.serve.core import constants
+from pondtiller.serve.core.events import (
     StoredObject,
     StoreFailed,
     StoreListed,
@@ -17,10 +18,9 @@
     StoreWriteEnded,
     StoreWriteResult,
 )
-from pondtiller.core.instructions import ListStore, WatchStore
-from pondtiller.core.world import StoredReplicas, TimerKind, World
-from pondtiller.hashing import rank
-from pondtiller.systems import fleet, peers, registers
+from pondtiller.serve.core.instructions import ListStore, WatchStore
+from pondtiller.serve.core.world import StoredReplicas, TimerKind, World
+from pondtiller.serve.systems import fleet, peers, registers
 from pondtiller.table import sheet
 
 DUTY_CHECK_SECONDS = 2.0
--- a/src/pondtiller/systems/tests/test_claims.py
+++ b/src/pondtiller/serve/systems/tests/test_claims.py
@@ -12,13 +12,13 @@
     ReplicaConfiguration,
     ShardConfiguration,
 )
-from pondtiller.core.entities import RequestSpec
-from pondtiller.core.events import CallerLeft, LetterArrived, RequestArrived
-from pondtiller.core.instructions import FailAnswer, SendPeer, StartAttempt
-from pondtiller.core.world import World, WorldSettings
 from pondtiller.errors import ErrorKind
-from pondtiller.systems.registers import spread_configuration
-from pondtiller.systems.tick import tick
+from pondtiller.serve.core.entities import RequestSpec
+from pondtiller.serve.core.events import CallerLeft, LetterArrived, RequestArrived
+from pondtiller.serve.core.instructions import FailAnswer, SendPeer, StartAttempt
+from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.systems.registers import spread_configuration
+from pondtiller.serve.systems.tick import tick
 from pondtiller.table.sheet import DOCUMENT_NAME, Row, RowKind, Sheet
 from pondtiller.wire.envelope import Letter
 
--- a/src/pondtiller/systems/tests/test_status.py
+++ b/src/pondtiller/serve/systems/tests/test_status.py
@@ -1,5 +1,5 @@
-from pondtiller.core.reports import RowFigures
-from pondtiller.systems.status import ZoneRow, add_rows, quantile
+from pondtiller.serve.core.reports import RowFigures
+from pondtiller.serve.systems.status import ZoneRow, add_rows, quantile
 
 
 def row(name, answered, median, age):
--- a/src/pondtiller/systems/tick.py
+++ b/src/pondtiller/serve/systems/tick.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pondtiller.core import events
-from pondtiller.core.world import Batch, TimerKind, World
-from pondtiller.systems import (
+from pondtiller.serve.core import events
+from pondtiller.serve.core.world import Batch, TimerKind, World
+from pondtiller.serve.systems import (
     admission,
     attempts,
     claims,
--- a/src/pondtiller/gateway/settings.py
+++ b/src/pondtiller/settings.py
@@ -5,10 +5,9 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
-from pondtiller.core.entities import Address
-from pondtiller.gateway.evacuation_bounds import reason_against
 from pondtiller.rollouts.scaling import PolicyName
 from pondtiller.steplog.fault_tolerance import Tolerance
+from pondtiller.store.evacuation_bounds import reason_against
 
 
 def _check_address(text: str) -> str:
@@ -33,12 +32,6 @@
 OptionalAddress = Annotated[str, AfterValidator(_check_optional)]
 
 
-def to_address(text: str) -> Address:
-    """Return a checked address as a value."""
-    host, _, port = text.rpartition(":")
-    return Address(host, int(port))
-
-
 class Section(BaseModel):
     """Base of all sections: unknown keys are refused."""
 
--- a/src/pondtiller/soak/callers.py
+++ b/src/pondtiller/soak/callers.py
@@ -4,8 +4,8 @@
 
 import curio
 
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.soak.caller_rules import RateRule, home_mark
 from pondtiller.soak.calls import Calls
 from pondtiller.soak.promises import NOT_RUN, Promises
--- a/src/pondtiller/soak/calls.py
+++ b/src/pondtiller/soak/calls.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 
 CALL_LIMIT_SECONDS = 6.0
--- a/src/pondtiller/soak/faults.py
+++ b/src/pondtiller/soak/faults.py
@@ -6,10 +6,10 @@
 
 import curio
 
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
 from pondtiller.platform import names
 from pondtiller.platform.standins import StandInStore
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.soak.leader_log import LeaderLog
 from pondtiller.soak.programs import Program
 from pondtiller.soak.proxy import Proxy
--- a/src/pondtiller/soak/kept_callers.py
+++ b/src/pondtiller/soak/kept_callers.py
@@ -4,9 +4,9 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.httpio.client import BrokenError, ClientConnection, HttpClient, NotSentError
+from pondtiller.process.spawner import Spawner
 from pondtiller.soak.calls import CALL_LIMIT_SECONDS
 from pondtiller.soak.programs import Program
 from pondtiller.soak.promises import Promises
--- a/src/pondtiller/soak/programs.py
+++ b/src/pondtiller/soak/programs.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from pondtiller.daemon import clock
+from pondtiller.process import clock
 
 RUNNER = Path(__file__).resolve().parents[3] / "deploy" / "run.py"
 
--- a/src/pondtiller/soak/proxy.py
+++ b/src/pondtiller/soak/proxy.py
@@ -7,10 +7,10 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.httpio.server import bind_tcp
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.soak.owners import Owners
 
 READ_BYTES = 65_536
--- a/src/pondtiller/soak/run.py
+++ b/src/pondtiller/soak/run.py
@@ -8,10 +8,11 @@
 
 import curio
 
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import to_address
 from pondtiller.platform import names
 from pondtiller.platform.standins import StandInStore, configuration, step_body, with_tenants
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.soak.caller_rules import RATE, RATE_EXCESS, HomeRule, RateRule
 from pondtiller.soak.callers import KEYS, NORTH, SOUTH, Callers
 from pondtiller.soak.calls import Calls
@@ -32,7 +33,7 @@
 from pondtiller.soak.promises import Breach, Promises
 from pondtiller.soak.proxy import Proxy
 from pondtiller.soak.sample_runs import SampleRuns
-from pondtiller.soak.stand_ins import Platform, SoakEngine, to_address
+from pondtiller.soak.stand_ins import Platform, SoakEngine
 from pondtiller.soak.trap import Trap
 
 GATEWAYS = 3
--- a/src/pondtiller/soak/stand_ins.py
+++ b/src/pondtiller/soak/stand_ins.py
@@ -6,12 +6,12 @@
 
 import curio
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import clock
+from pondtiller.address import to_address
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange
 from pondtiller.platform import names
 from pondtiller.platform.standins import StandInEngine, StandInStore
+from pondtiller.process import clock
 from pondtiller.soak.caller_rules import RateRule
 from pondtiller.soak.ending_rules import EndingRule, EndingRun
 from pondtiller.soak.engine_rules import NEWS_SECONDS, EngineRules
@@ -215,9 +215,3 @@
             piece = f"{changed}id: {number}\ndata: {identifier}/{number}@{version}\n\n"
             await exchange.send_piece(piece.encode())
         await exchange.end_stream()
-
-
-def to_address(text: str) -> Address:
-    """Read HOST:PORT."""
-    host, _, port = text.rpartition(":")
-    return Address(host, int(port))
--- a/src/pondtiller/soak/tests/test_callers.py
+++ b/src/pondtiller/soak/tests/test_callers.py
@@ -6,12 +6,13 @@
 import curio
 import pytest
 
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import to_address
+from pondtiller.process.spawner import Spawner
 from pondtiller.soak.caller_rules import MOST_IN_A_WINDOW
 from pondtiller.soak.callers import Callers
 from pondtiller.soak.calls import Calls
 from pondtiller.soak.promises import Promises
-from pondtiller.soak.stand_ins import SoakEngine, to_address
+from pondtiller.soak.stand_ins import SoakEngine
 from pondtiller.soak.tests.platforms import make_platform
 
 Planted = Callable[[Callers], object]
--- a/src/pondtiller/soak/tests/test_ending_rules.py
+++ b/src/pondtiller/soak/tests/test_ending_rules.py
@@ -3,7 +3,7 @@
 import curio
 import pytest
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.httpio.client import HttpClient, NotSentError
 from pondtiller.httpio.server import bind_tcp
 from pondtiller.platform.standins import StandInStore
--- a/src/pondtiller/soak/tests/test_faults.py
+++ b/src/pondtiller/soak/tests/test_faults.py
@@ -3,12 +3,13 @@
 import random
 from pathlib import Path
 
+from pondtiller.address import to_address
 from pondtiller.soak.faults import KINDS, Faults
 from pondtiller.soak.leader_log import LeaderLog
 from pondtiller.soak.programs import Program, ProgramSpec
 from pondtiller.soak.promises import Promises
 from pondtiller.soak.proxy import Proxy
-from pondtiller.soak.stand_ins import SoakEngine, to_address
+from pondtiller.soak.stand_ins import SoakEngine
 from pondtiller.soak.tests.platforms import make_platform
 from pondtiller.soak.trap import Trap
 
--- a/src/pondtiller/soak/tests/test_proxy.py
+++ b/src/pondtiller/soak/tests/test_proxy.py
@@ -10,9 +10,9 @@
 import curio
 import pytest
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.httpio.server import bind_tcp
+from pondtiller.process.spawner import Spawner
 from pondtiller.soak.owners import Owners, find_inode, holds
 from pondtiller.soak.proxy import Proxy
 
--- a/src/pondtiller/soak/tests/test_stand_ins.py
+++ b/src/pondtiller/soak/tests/test_stand_ins.py
@@ -5,11 +5,12 @@
 import curio
 import pytest
 
-from pondtiller.daemon import clock
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import to_address
 from pondtiller.httpio.client import HttpClient
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
 from pondtiller.soak.promises import Promises
-from pondtiller.soak.stand_ins import SoakEngine, to_address
+from pondtiller.soak.stand_ins import SoakEngine
 from pondtiller.soak.tests.platforms import make_platform
 
 LONG_SAMPLE = "s-0"
--- a/src/pondtiller/gateway/evacuation_bounds.py
+++ b/src/pondtiller/store/evacuation_bounds.py
@@ -4,21 +4,17 @@
 refused. docs/design/19-evacuations.md holds the table of what may fail.
 """
 
-from pondtiller.gateway.mirrored_store import (
+from pondtiller.platform.object_client import WATCH_MARGIN_SECONDS
+from pondtiller.store.mirror import CHECK_SECONDS, MIRROR_TIMES
+from pondtiller.store.mirrored_store import (
     ANSWER_SECONDS,
     LONGEST_WAIT_SECONDS,
     RETRY_SECONDS,
     STORE_SECONDS,
     TOLD_SECONDS,
 )
-from pondtiller.gateway.store_watch import RETRY_SECONDS as STORE_RETRY_SECONDS
-from pondtiller.platform.object_client import WATCH_MARGIN_SECONDS
-from pondtiller.replica.mirror import CHECK_SECONDS, FollowTimes
+from pondtiller.store.store_watch import RETRY_SECONDS as STORE_RETRY_SECONDS
 
-MIRROR_TIMES = FollowTimes(wait_seconds=2.4, fresh_seconds=2.8)
-"""How a mirror follows evacuations. Each wait is a priced call: 0.8 s, as for the engines, would be
-70 calls of a mirror in a day of 56 s, 2.4 s are 23. A mirror is fresh for as long as its wait, a
-slow store's answer (0.2 s, 50 times the usual) and a margin as long again."""
 DIRECT_WAIT_SECONDS = 2.5
 """Longest wait of a gateway that asks the store itself. A call that hangs since its path was cut
 must have ended within the 4 s in which the platform takes a machine to be in touch again."""
--- a/src/pondtiller/gateway/evacuation_watch.py
+++ b/src/pondtiller/store/evacuation_watch.py
@@ -6,12 +6,12 @@
 
 from collections.abc import Awaitable, Callable, Collection
 
-from pondtiller.daemon import logs
-from pondtiller.gateway.evacuation_bounds import DIRECT_WAIT_SECONDS
-from pondtiller.gateway.store_watch import StoreHealth, StoreReader, Watch
 from pondtiller.platform import names
 from pondtiller.platform.object_client import StoreChange, StoreObject
+from pondtiller.process import logs
 from pondtiller.routes.engines import EngineDirectory
+from pondtiller.store.evacuation_bounds import DIRECT_WAIT_SECONDS
+from pondtiller.store.store_watch import StoreHealth, StoreReader, Watch
 
 
 class EvacuationWatch:
--- a/src/pondtiller/gateway/leader_store.py
+++ b/src/pondtiller/store/leader_store.py
@@ -10,9 +10,6 @@
 
 import curio
 
-from pondtiller.daemon import clock
-from pondtiller.daemon.race import run_until
-from pondtiller.gateway.store_watch import StoreReader
 from pondtiller.platform.mirror import MirrorStatus, read_changes, read_listing
 from pondtiller.platform.object_client import (
     HistoryGoneError,
@@ -20,6 +17,9 @@
     StoreChanges,
     StoreListing,
 )
+from pondtiller.process import clock
+from pondtiller.process.run_until import run_until
+from pondtiller.store.store_watch import StoreReader
 from pondtiller.wire.steplog import MirrorPage, ReadMirror
 
 OWN_RETRY_SECONDS = 2.0
--- a/src/pondtiller/replica/mirror.py
+++ b/src/pondtiller/store/mirror.py
@@ -12,10 +12,6 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.spawner import Spawner
-from pondtiller.daemon.supervise import keep_running
-from pondtiller.gateway.store_watch import StoreHealth, StoreReader, Watch
 from pondtiller.platform import names
 from pondtiller.platform.mirror import MirroredKind, MirrorStatus, changes_page, listing_page
 from pondtiller.platform.object_client import (
@@ -26,6 +22,10 @@
     StoreListing,
     StoreObject,
 )
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
+from pondtiller.process.supervise import keep_running
+from pondtiller.store.store_watch import StoreHealth, StoreReader, Watch
 from pondtiller.wire.steplog import MirrorPage, ReadMirror
 
 FEWEST_FOLLOWERS = 6
@@ -57,6 +57,12 @@
     fresh_seconds: float
 
 
+MIRROR_TIMES = FollowTimes(wait_seconds=2.4, fresh_seconds=2.8)
+"""How a mirror follows evacuations. Each wait is a priced call: 0.8 s, as for the engines, would be
+70 calls of a mirror in a day of 56 s, 2.4 s are 23. A mirror is fresh for as long as its wait, a
+slow store's answer (0.2 s, 50 times the usual) and a margin as long again."""
+
+
 class MirroringReader:
     """Reads the store, and keeps what it reads in mirrors."""
 
--- a/src/pondtiller/gateway/mirrored_store.py
+++ b/src/pondtiller/store/mirrored_store.py
@@ -5,12 +5,9 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
-from pondtiller.gateway.leader_store import LeaderStore
-from pondtiller.gateway.replicas import ReplicaDirectory
-from pondtiller.gateway.store_watch import StoreReader
 from pondtiller.hashing import score
 from pondtiller.links.link import Link, LinkLostError
+from pondtiller.peers.replicas import ReplicaDirectory
 from pondtiller.platform import names
 from pondtiller.platform.mirror import MirrorStatus, read_changes, read_listing
 from pondtiller.platform.object_client import (
@@ -18,7 +15,10 @@
     StoreChanges,
     StoreListing,
 )
+from pondtiller.process import clock, logs
 from pondtiller.routes.places import Places
+from pondtiller.store.leader_store import LeaderStore
+from pondtiller.store.store_watch import StoreReader
 from pondtiller.wire.steplog import MirrorPage, ReadMirror
 
 ANSWER_SECONDS = 0.6
--- a/src/pondtiller/gateway/store_watch.py
+++ b/src/pondtiller/store/store_watch.py
@@ -6,8 +6,6 @@
 
 import curio
 
-from pondtiller.daemon import clock, logs
-from pondtiller.daemon.race import run_until
 from pondtiller.platform.object_client import (
     HistoryGoneError,
     StoreCallError,
@@ -16,6 +14,8 @@
     StoreListing,
     StoreObject,
 )
+from pondtiller.process import clock, logs
+from pondtiller.process.run_until import run_until
 
 WATCH_SECONDS = 6.0
 SHORTEST_FIRST_WATCH_SECONDS = 1.0
--- a/src/pondtiller/replica/tests/test_mirror.py
+++ b/src/pondtiller/store/tests/test_mirror.py
@@ -6,7 +6,7 @@
 from pondtiller.platform import names
 from pondtiller.platform.mirror import MirrorStatus
 from pondtiller.platform.object_client import StoreChanges, StoreListing
-from pondtiller.replica.mirror import FRESH_SECONDS, FollowTimes, StoreMirror
+from pondtiller.store.mirror import FRESH_SECONDS, FollowTimes, StoreMirror
 from pondtiller.wire.steplog import ReadMirror
 
 
--- a/tools/bench_ending_requests.py
+++ b/tools/bench_ending_requests.py
@@ -14,10 +14,10 @@
 
 import curio
 
-from pondtiller.daemon import clock
 from pondtiller.gateway.tests import ending_engine
 from pondtiller.gateway.tests.ending_engine import ENDING, replace_engines
 from pondtiller.gateway.tests.system import System, run_system
+from pondtiller.process import clock
 from pondtiller.routes import quarantine
 
 SECONDS = 12.0
--- a/tools/bench_leader.py
+++ b/tools/bench_leader.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.rollouts.samples import SampleScheduler
 from pondtiller.rollouts.steps import StepBook, add_sample
 from pondtiller.rollouts.versions import OrderVersion, VersionSteward
--- a/tools/bench_parts.py
+++ b/tools/bench_parts.py
@@ -20,10 +20,10 @@
 )
 from pondtiller.coordination.registers.proposer import Proposer
 from pondtiller.coordination.shares import ROUND_SECONDS, Allocator, HeldShare, HolderKey, pace
-from pondtiller.core.reports import DaemonReport
-from pondtiller.core.world import World, WorldSettings
 from pondtiller.hashing import rank
-from pondtiller.systems.status import build_report
+from pondtiller.serve.core.reports import DaemonReport
+from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.systems.status import build_report
 from pondtiller.table.sheet import Row, RowKind, Sheet, parse
 from pondtiller.usage.ledger import UseLedger
 from pondtiller.usage.meter import UseRow, pack_rows, unpack_rows
--- a/tools/bench_path.py
+++ b/tools/bench_path.py
@@ -18,7 +18,7 @@
 
 import curio
 
-from pondtiller.core.entities import Address
+from pondtiller.address import Address
 from pondtiller.httpio.client import HttpClient
 
 COMMAND = [sys.executable, "-c", "from pondtiller.cli.application import main; main()"]
@@ -174,7 +174,7 @@
     count, tokens = max(20, options.requests // 20), 4000
     curio.run(throughput, through, count, 16, tokens, True)
     spent = processor_seconds(daemon) - before
-    from pondtiller.emulator.text import answer_length
+    from pondtiller.serve.emulator.text import answer_length
 
     made = sum(answer_length(str(number), tokens) for number in range(count))
     print(f"streamed, {options.chunk} tokens a piece: {made / spent:.0f} tokens/s on one core")
--- a/tools/bench_samples.py
+++ b/tools/bench_samples.py
@@ -26,12 +26,9 @@
 import curio
 from betterproto import Message
 
-from pondtiller.core.entities import Address
-from pondtiller.daemon import logs
-from pondtiller.daemon.spawner import Spawner
+from pondtiller.address import Address
 from pondtiller.gateway import leadership, term
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.settings import GatewaySettings, ReplicaSettings
 from pondtiller.httpio.client import HttpClient
 from pondtiller.links import frames, link
 from pondtiller.platform.standins import (
@@ -40,7 +37,10 @@
     configuration,
     step_body,
 )
+from pondtiller.process import logs
+from pondtiller.process.spawner import Spawner
 from pondtiller.replica.process import ReplicaProcess
+from pondtiller.settings import GatewaySettings, ReplicaSettings
 
 ANY = "127.0.0.1:0"
 REPLICAS, RUNNERS, ENGINES = 5, 2, 12
--- a/tools/check_events.py
+++ b/tools/check_events.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
+SOURCE = ROOT / "src" / "pondtiller"
 PAGE = ROOT / "docs" / "OPERATIONS.md"
-PACKAGES = ("gateway", "replica", "daemon", "platform")
 CALL = re.compile(r"logs\.decision\(\s*(.*?)[,)]", re.DOTALL)
 NAME = re.compile(r'"([a-z_]+)"')
 
@@ -14,10 +14,11 @@
 def written_events() -> set[str]:
     """Return the names of all events in the sources."""
     found = {"lines_left_out"}
-    for package in PACKAGES:
-        for path in (ROOT / "src" / "pondtiller" / package).glob("*.py"):
-            for call in CALL.findall(path.read_text(encoding="utf-8")):
-                found.update(NAME.findall(call))
+    for path in SOURCE.rglob("*.py"):
+        if "tests" in path.parts:
+            continue
+        for call in CALL.findall(path.read_text(encoding="utf-8")):
+            found.update(NAME.findall(call))
     return found
 
 
--- a/tools/tests/test_check_imports.py
+++ b/tools/tests/test_check_imports.py
@@ -22,5 +22,26 @@
 
 def test_imports_for_types_only_and_within_functions_count() -> None:
     imports = CHECK.module_imports()
-    assert "pondtiller.gateway.metrics_text" in imports["pondtiller.gateway.pages"]
+    assert (
+        "pondtiller.gateway.pages.metrics_text"
+        in imports["pondtiller.gateway.pages.readiness_page"]
+    )
     assert CHECK.circles(imports) == []
+
+
+def test_layers_import_downward_only() -> None:
+    upward = {"pondtiller.routes.engines": {"pondtiller.gateway.callers.front"}}
+    apart = {"pondtiller.serve.daemon.runtime": {"pondtiller.store.mirror"}}
+    neighbour = {"pondtiller.usage.meter": {"pondtiller.rollouts.steps"}}
+    for refused in (upward, apart, neighbour):
+        assert len(CHECK.upward(refused)) == 1
+    assert CHECK.upward({"pondtiller.gateway.runs.run_host": {"pondtiller.routes.places"}}) == []
+    assert CHECK.upward({"pondtiller.elsewhere": set()}) == [
+        "pondtiller.elsewhere: stands in no layer"
+    ]
+
+
+def test_a_pure_package_may_use_pure_ones_only() -> None:
+    assert CHECK.is_impure("pondtiller.process.clock")
+    assert not CHECK.is_impure("pondtiller.routes.places")
+    assert not CHECK.is_impure("sortedcontainers")
