--- a/src/pondtiller/gateway/tests/test_held_runs.py
+++ b/src/pondtiller/gateway/tests/test_held_runs.py
@@ -7,15 +7,17 @@
 import curio
 import pytest
 
-from pondtiller.gateway import held_runs, replicas, run_offers
+from pondtiller.gateway.leader import run_offers
 from pondtiller.gateway.leader.run_links import RUNNER_LOST, RunnerLink
 from pondtiller.gateway.leader.term import Term
 from pondtiller.gateway.process import GatewayProcess
+from pondtiller.gateway.runs import held_runs
 from pondtiller.gateway.runs.held_runs import HeldRuns
 from pondtiller.gateway.runs.run_host import RunHost
 from pondtiller.gateway.runs.sample_runner import EventSink, RunOrder, RunOutcome, ScoreOutcome
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_runs_elsewhere import Engine, FakeLink, connected, texts
+from pondtiller.peers import replicas
 from pondtiller.platform.standins import StandInEngine
 from pondtiller.process import clock
 from pondtiller.rollouts import run_holding
--- a/src/pondtiller/gateway/tests/test_runs_elsewhere.py
+++ b/src/pondtiller/gateway/tests/test_runs_elsewhere.py
@@ -9,10 +9,11 @@
 from betterproto import Message
 
 from pondtiller.address import Address
-from pondtiller.gateway import run_host, run_links
+from pondtiller.gateway.leader import run_links
 from pondtiller.gateway.leader import term as terms
 from pondtiller.gateway.leader.run_links import RUNNER_SILENT_SECONDS, RunnerLink
 from pondtiller.gateway.process import GatewayProcess
+from pondtiller.gateway.runs import run_host
 from pondtiller.gateway.runs.run_host import RunHost
 from pondtiller.gateway.runs.sample_runner import EventSink, RunOrder, RunOutcome
 from pondtiller.gateway.tests.system import System, run_system
--- a/tools/bench_samples.py
+++ b/tools/bench_samples.py
@@ -27,7 +27,7 @@
 from betterproto import Message
 
 from pondtiller.address import Address
-from pondtiller.gateway import leadership, term
+from pondtiller.gateway.leader import leadership, term
 from pondtiller.gateway.process import GatewayProcess
 from pondtiller.httpio.client import HttpClient
 from pondtiller.links import frames, link
