--- a/src/pondtiller/serve/daemon/caller_api.py
+++ b/src/pondtiller/serve/daemon/caller_api.py
@@ -18,11 +18,15 @@
 from pondtiller.table.sheet import RowKind, explain
 
 DEFAULT_MAXIMUM_TOKENS = 256
+"""Of a request that names none. Chosen, not measured."""
 LARGEST_PROMPT_CHARACTERS = 4_000_000
+"""A longer prompt is refused as malformed. Chosen, not measured: it bounds memory."""
 CALLER_HEADER = "x-caller-class"
 ONCE_HEADER = "x-run-at-most-once"
 KEY_HEADER = "idempotency-key"
 LONGEST_KEY = 255
+"""Characters of an idempotency key; a longer one is refused. Chosen, not measured: it is part of a
+register key."""
 
 MaximumTokens = Annotated[int, Field(ge=1, le=1_000_000)]
 
--- a/src/pondtiller/serve/daemon/engine_client.py
+++ b/src/pondtiller/serve/daemon/engine_client.py
@@ -22,7 +22,9 @@
 from pondtiller.serve.core.tokens import Chunk
 
 POLL_SECONDS = 1.0
+"""Longest wait for a report of load. Chosen: one period of polls."""
 REFUSED_STATUS = 503
+"""Status of an engine that refuses what it has not begun."""
 DATA_PREFIX = b"data: "
 
 Post = Callable[[object], Awaitable[None]]
--- a/src/pondtiller/serve/daemon/peer_transport.py
+++ b/src/pondtiller/serve/daemon/peer_transport.py
@@ -9,9 +9,14 @@
 from pondtiller.wire.envelope import Letter, decode, encode
 
 LARGEST_DATAGRAM = 8_000
+"""Bytes of a letter that is sent as one datagram; a larger one gets a connection. Chosen: loopback
+and jumbo frames carry it whole, others in few fragments."""
 LARGEST_LETTER = 64 * 1024 * 1024
+"""Bytes; a longer one is not read. Chosen, not measured: it bounds memory."""
 LENGTH_BYTES = 4
+"""Of the length before a letter on a connection, big endian."""
 TRANSFER_SECONDS = 10.0
+"""Longest time for a letter on a connection, either way. Chosen, not measured."""
 
 Receiver = Callable[[Letter], Awaitable[None]]
 
--- a/src/pondtiller/serve/daemon/platform_client.py
+++ b/src/pondtiller/serve/daemon/platform_client.py
@@ -21,8 +21,12 @@
 from pondtiller.serve.core.instructions import ScoreSample, WatchStore, WriteStore
 
 CALL_SECONDS = 5.0
+"""Longest wait for an answer of the object service or the scorer, beyond the wait that a watch asks
+for. Chosen, not measured."""
 EXPIRED_STATUS = 410
+"""The revision to watch from is forgotten: list again."""
 CONFLICT_STATUS = 409
+"""Another write came first."""
 OK_STATUSES = (200, 201)
 
 Post = Callable[[object], Awaitable[None]]
--- a/src/pondtiller/serve/daemon/process.py
+++ b/src/pondtiller/serve/daemon/process.py
@@ -26,6 +26,8 @@
 from pondtiller.table.sheet import DOCUMENT_NAME, RowKind
 
 LAST_ANSWERS_SECONDS = 0.2
+"""From the end of the last request until the sockets close: answers that are under way still leave.
+Chosen, not measured."""
 READABLE_PATHS = ("/healthz", "/readyz", "/metrics", "/v1/models")
 CALLER_PATHS = ("/v1/completions", "/v1/chat/completions")
 
--- a/src/pondtiller/serve/daemon/runtime.py
+++ b/src/pondtiller/serve/daemon/runtime.py
@@ -38,6 +38,8 @@
 from pondtiller.wire.envelope import Letter
 
 LONGEST_SLEEP_SECONDS = 5.0
+"""Longest pause between two ticks where no timer is due. Chosen, not measured: a guard, since what
+arrives wakes the tick."""
 
 Answer = (
     SendText
--- a/src/pondtiller/serve/daemon/trainer_api.py
+++ b/src/pondtiller/serve/daemon/trainer_api.py
@@ -28,6 +28,8 @@
 from pondtiller.table.sheet import explain
 
 ANSWER_SECONDS = 45.0
+"""Longest wait for the systems' answer to a trainer. Chosen: above the longest wait of a read, 30
+s."""
 FORWARDED = "forwarded"
 
 Version = Annotated[int, Field(ge=0, le=2**53)]
--- a/src/pondtiller/serve/demo/load.py
+++ b/src/pondtiller/serve/demo/load.py
@@ -18,9 +18,13 @@
 from pondtiller.serve.simulation.truth import CallerRequest, CallerTry
 
 CALL_SECONDS = 60.0
+"""Longest wait of a caller. Chosen, not measured: a demo lasts less."""
 MAXIMUM_TRIES = 3
+"""Of one request. Chosen, not measured."""
 RETRY_SECONDS = 0.5
+"""Pause between two of them. Chosen, not measured."""
 LONGEST_MICROSECONDS = 120_000_000
+"""Upper end of the histogram of latencies: two of a caller's waits."""
 DATA_PREFIX = "data: "
 END_MARK = "[DONE]"
 
--- a/src/pondtiller/serve/demo/run.py
+++ b/src/pondtiller/serve/demo/run.py
@@ -27,7 +27,9 @@
 
 HOST = "127.0.0.1"
 READY_SECONDS = 20.0
+"""Longest wait until all daemons serve. Chosen, not measured: they do so within a few seconds."""
 READY_CHECK_SECONDS = 0.05
+"""How often that is looked at. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/serve/emulator/engine.py
+++ b/src/pondtiller/serve/emulator/engine.py
@@ -19,8 +19,11 @@
 from pondtiller.serve.emulator.weights import WeightStore
 
 PREFIX_CHARACTERS = 256
+"""Beginning of a prompt that is cached as one. Modelled, not measured."""
 KEEP_ALIVE_SECONDS = 3.0
+"""A request that waits or reads sends an empty piece so often. Modelled."""
 QUEUE_FACTOR = 2
+"""Requests that may wait, by places; more are refused. Modelled."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/serve/emulator/object_store.py
+++ b/src/pondtiller/serve/emulator/object_store.py
@@ -4,6 +4,7 @@
 from enum import Enum
 
 KEPT_CHANGES = 1000
+"""Changes that a watch may still ask for. Modelled: an older revision is expired."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/serve/emulator/platform_server.py
+++ b/src/pondtiller/serve/emulator/platform_server.py
@@ -17,7 +17,9 @@
 
 OBJECTS_PATH = "/api/v1/objects"
 WATCH_CHECK_SECONDS = 0.02
+"""How often a waiting watch looks for changes. Chosen, not measured."""
 LONGEST_WATCH_SECONDS = 60.0
+"""Longest wait that a watch may ask for. Modelled."""
 
 
 class PutMetadata(BaseModel):
--- a/src/pondtiller/serve/emulator/scorer.py
+++ b/src/pondtiller/serve/emulator/scorer.py
@@ -3,6 +3,7 @@
 from pondtiller.hashing import score
 
 LARGEST = 2**64
+"""One more than the largest 64-bit digest, so that scores lie in [0, 1)."""
 
 
 def score_sample(prompt: str, text: str) -> float:
--- a/src/pondtiller/serve/emulator/text.py
+++ b/src/pondtiller/serve/emulator/text.py
@@ -8,11 +8,16 @@
 from pondtiller.hashing import score
 
 PATTERN_TOKENS = 61
+"""Tokens after which a text repeats: a prime, so that a wrong offset shows."""
 LETTERS = "abcdefghijklmnopqrstuvwxyz"
 TOKEN_CHARACTERS = 4
+"""Characters of a token, its space included."""
 SHORTEST_ANSWER = 4
+"""Tokens. Modelled."""
 MEDIAN_TOKENS = 120
+"""Of the lognormal lengths of answers. Modelled: most are short."""
 TAIL_SHAPE = 1.1
+"""Sigma of the lognormal lengths: a few answers are far longer than the others. Modelled."""
 
 
 def pattern(prompt: str) -> str:
--- a/src/pondtiller/serve/emulator/trainer.py
+++ b/src/pondtiller/serve/emulator/trainer.py
@@ -9,7 +9,9 @@
 from pondtiller.serve.core.entities import Sample
 
 READ_WAIT_SECONDS = 5.0
+"""How long a read waits for samples. Chosen, not measured."""
 RETRY_SECONDS = 0.5
+"""Pause after a call that failed. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/serve/emulator/trainer_client.py
+++ b/src/pondtiller/serve/emulator/trainer_client.py
@@ -24,7 +24,9 @@
 )
 
 CALL_SECONDS = 40.0
+"""Longest wait for an answer. Chosen: above the longest wait of a read."""
 MAXIMUM_REDIRECTS = 3
+"""Of one call on its way to a step's home. Chosen: views of the members differ for moments only."""
 
 
 class TrainerClient:
--- a/src/pondtiller/serve/simulation/callers.py
+++ b/src/pondtiller/serve/simulation/callers.py
@@ -17,11 +17,17 @@
 from pondtiller.table.sheet import RowKind
 
 MAXIMUM_TRIES = 4
+"""Of one request. Modelled."""
 RETRY_SECONDS = 0.5
+"""Largest part of the pause before another try. Modelled."""
 CONNECT_FAILURE_SECONDS = 0.05
+"""After which a refused connection is known. Modelled."""
 GIVE_UP_SECONDS = 45.0
+"""A caller leaves after so long. Modelled: above the default deadline."""
 BURST_PERIOD_SECONDS = 60.0
+"""From one burst to the next. Modelled."""
 BURST_SHARE = 0.25
+"""Part of the period with more traffic. Modelled."""
 
 
 @dataclass(slots=True)
--- a/src/pondtiller/serve/simulation/daemon.py
+++ b/src/pondtiller/serve/simulation/daemon.py
@@ -46,6 +46,7 @@
 from pondtiller.wire.envelope import Letter, decode, encode
 
 SCORE_SECONDS = 0.05
+"""Of a scorer. Modelled."""
 
 CallerAnswer = SendText | FinishAnswer | FailAnswer
 TrainerAnswer = AnswerSamples | AnswerTrainer | FailTrainer | RedirectTrainer
--- a/src/pondtiller/serve/simulation/engines.py
+++ b/src/pondtiller/serve/simulation/engines.py
@@ -26,6 +26,7 @@
 from pondtiller.serve.simulation.truth import EngineStart, OrderSeen, TokenRun, Truth
 
 CONNECT_TIMEOUT_SECONDS = 2.0
+"""After which a caller of an engine that cannot be reached knows it. Modelled."""
 
 Deliver = Callable[[object], None]
 
--- a/src/pondtiller/serve/simulation/faults.py
+++ b/src/pondtiller/serve/simulation/faults.py
@@ -122,6 +122,7 @@
 )
 
 REPLACE_CHECK_SECONDS = 1.0
+"""How often a planned replacement looks whether its daemon has drained. Modelled."""
 
 
 def schedule(cluster: Cluster, faults: tuple[Fault, ...]) -> None:
--- a/src/pondtiller/serve/simulation/network.py
+++ b/src/pondtiller/serve/simulation/network.py
@@ -8,6 +8,7 @@
 from pondtiller.serve.simulation.scheduler import Scheduler
 
 JITTER_SHARE = 0.5
+"""Largest part by which a trip is longer than its latency. Modelled."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/serve/simulation/operators.py
+++ b/src/pondtiller/serve/simulation/operators.py
@@ -15,7 +15,9 @@
 from pondtiller.table.sheet import DOCUMENT_NAME, CellChange, Edit, RowKind, Sheet
 
 RETRY_SECONDS = 1.0
+"""Pause of an editor whose write failed. Modelled."""
 HIGHEST_PRIORITY = 9
+"""Of the table; edits count up to it and begin anew."""
 
 
 @dataclass(slots=True)
--- a/src/pondtiller/serve/simulation/platform.py
+++ b/src/pondtiller/serve/simulation/platform.py
@@ -16,10 +16,15 @@
 from pondtiller.serve.simulation.scheduler import Scheduler
 
 ANSWER_SECONDS = 0.005
+"""Of the object service at least. Modelled."""
 TIMEOUT_SECONDS = 2.0
+"""After which a caller of a service that is down knows it. Modelled."""
 WATCH_SECONDS = 10.0
+"""Longest wait of a watch. Modelled."""
 WATCH_CHECK_SECONDS = 0.1
+"""How often a waiting watch looks for changes. Modelled."""
 KEPT_OLD_READS = 20
+"""Earlier states of which one may be read in place of the last. Modelled: reads may be old."""
 
 Deliver = Callable[[object], None]
 
--- a/src/pondtiller/serve/simulation/trainers.py
+++ b/src/pondtiller/serve/simulation/trainers.py
@@ -31,7 +31,9 @@
 from pondtiller.serve.simulation.scheduler import Scheduler
 
 TIMEOUT_SECONDS = 10.0
+"""After which a trainer takes a call for lost. Modelled: above the wait of a read."""
 MAXIMUM_REDIRECTS = 3
+"""Of one call on its way to a step's home. Modelled."""
 
 
 @dataclass(slots=True)
--- a/src/pondtiller/serve/systems/dispatch.py
+++ b/src/pondtiller/serve/systems/dispatch.py
@@ -9,7 +9,11 @@
 from pondtiller.serve.systems.fleet import is_usable
 
 RETRY_SECONDS = 0.25
+"""How soon waiting requests are looked at again where nothing else wakes them. Chosen, not
+measured."""
 KEPT_HINTS = 4096
+"""Beginnings of prompts that are remembered; then all are forgotten at once. Chosen, not measured:
+it bounds memory."""
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/serve/systems/lifecycle.py
+++ b/src/pondtiller/serve/systems/lifecycle.py
@@ -13,6 +13,7 @@
 from pondtiller.serve.systems.registers import change_register
 
 KEPT_LATENCIES = 256
+"""Last latencies of a row, of which the status shows quantiles. Chosen, not measured."""
 
 
 def enqueue(world: World, request: Request, first: bool = False) -> None:
--- a/src/pondtiller/serve/systems/limits.py
+++ b/src/pondtiller/serve/systems/limits.py
@@ -20,9 +20,17 @@
 from pondtiller.serve.systems.registers import change_register, is_available
 
 IDLE_HEADROOM = 1
+"""Places asked for beyond what is used and waits, so that a first request finds one. Chosen, not
+measured."""
 FIRST_ROUND_SECONDS = 0.005
+"""An allocator waits so long for further demands that come together. Chosen, not measured: below
+one trip between zones and back."""
 ASK_AGAIN_SECONDS = 0.1
+"""A demand that is not answered for so long is sent again, above 40 members in proportion later.
+Chosen, not measured."""
 PAUSE_SECONDS = 0.25
+"""Shortest pause between two divisions of a row, above 40 members in proportion longer: 340 holders
+that ask each second would cost 15% of a core a row, with the stretched pace it is 1.9%."""
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/serve/systems/readiness.py
+++ b/src/pondtiller/serve/systems/readiness.py
@@ -5,6 +5,7 @@
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 CHECK_SECONDS = 0.2
+"""How often a daemon that starts looks whether it may serve. Chosen, not measured."""
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/serve/systems/registers.py
+++ b/src/pondtiller/serve/systems/registers.py
@@ -23,7 +23,10 @@
 from pondtiller.serve.systems.peers import RegisterMessageArrived
 
 ABANDONED_SEAL_SECONDS = 3.0
+"""A shard that stays sealed for so long was left by who sealed it, and another one finishes.
+Chosen, not measured: above the time of a replacement, so that two do not race."""
 SUCCESSOR_TIMEOUT_SECONDS = 5.0
+"""Of the agreement on a successor configuration. Chosen, not measured."""
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/serve/systems/slots.py
+++ b/src/pondtiller/serve/systems/slots.py
@@ -31,6 +31,7 @@
 from pondtiller.table.sheet import Row, RowKind
 
 SCORE_AGAIN_SECONDS = 0.5
+"""Pause before a scorer that failed is asked again. Chosen, not measured."""
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/serve/systems/status.py
+++ b/src/pondtiller/serve/systems/status.py
@@ -16,6 +16,7 @@
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 FORGET_SECONDS = 60.0
+"""A daemon that has not reported for so long leaves the zone's status. Chosen: twelve reports."""
 
 
 class DaemonStatus(BaseModel):
--- a/src/pondtiller/serve/systems/steps.py
+++ b/src/pondtiller/serve/systems/steps.py
@@ -29,6 +29,8 @@
 from pondtiller.serve.systems.peers import note_version
 
 IDLE_STEP_SECONDS = 60.0
+"""A step that nobody reads for so long is closed; a trainer's next call opens it again at its
+cursor. Chosen, not measured: twice the longest wait of a read."""
 
 
 def run(world: World, now: float) -> None:
--- a/src/pondtiller/serve/systems/steward.py
+++ b/src/pondtiller/serve/systems/steward.py
@@ -17,9 +17,13 @@
 from pondtiller.serve.systems.registers import change_register
 
 CHECK_SECONDS = 0.5
+"""How often a steward compares its engines with the versions that it knows. Chosen, not
+measured."""
 PREFETCH = "prefetch"
 ACTIVATE = "activate"
 FENCES_AN_EPOCH = 1_000_000
+"""Fences of one epoch of the register's shard: a shard that lost its memory and starts empty in a
+later epoch still gives higher ones. Chosen: far more than orders in the life of an epoch."""
 FAILURE_BACKOFF = Backoff(first=0.5, maximum=5.0)
 
 
--- a/src/pondtiller/serve/systems/store.py
+++ b/src/pondtiller/serve/systems/store.py
@@ -24,6 +24,7 @@
 from pondtiller.table import sheet
 
 DUTY_CHECK_SECONDS = 2.0
+"""How often a daemon looks whether it is a watcher of its zone. Chosen, not measured."""
 DOCUMENTS = (sheet.DOCUMENT_NAME, constants.FLEET_DOCUMENT)
 
 
--- a/src/pondtiller/serve/systems/tick.py
+++ b/src/pondtiller/serve/systems/tick.py
@@ -29,6 +29,8 @@
 )
 
 MAXIMUM_PASSES = 100
+"""Passes over the systems within one tick. Chosen: more is a loop of systems that wake each other,
+a fault that must not stop the daemon."""
 
 
 @dataclass(frozen=True, slots=True)
