--- a/src/pondtiller/serve/simulation/run.py
+++ b/src/pondtiller/serve/simulation/run.py
@@ -22,7 +22,8 @@
 from pondtiller.table.sheet import DOCUMENT_NAME, RowKind, Sheet
 
 SETTLE_SECONDS = 60.0
-"""After the load ends: what was begun ends, and the checks judge a system at rest. Chosen, not measured."""
+"""After the load ends: what was begun ends, and the checks judge a system at rest. Chosen, not
+measured."""
 
 
 class RunSettings(BaseModel):
