--- a/tools/check_constants.py
+++ b/tools/check_constants.py
@@ -1,4 +1,4 @@
-"""Checks that each numeric constant of a module says what it bounds and where its figure comes from.
+"""Checks that each numeric constant of a module says what it bounds and why it is what it is.
 
 A docstring under the constant, or a comment on its line or right above it, counts. Whether it tells
 unit, source and reason is for readers: this finds constants that say nothing.
