--- a/src/pondtiller/cli/table_key.py
+++ b/src/pondtiller/cli/table_key.py
@@ -3,13 +3,14 @@
 import sys
 from pathlib import Path
 
+from cleo.commands.command import Command
 from cleo.helpers import argument, option
 from pydantic import ValidationError
 from result import Err, Ok, Result
 
 from pondtiller.address import Address
 from pondtiller.cli.common import EXIT_OK, print_problems
-from pondtiller.cli.table import TableCommand, platform_option
+from pondtiller.cli.table_edits import platform_option, read_table, run_on_platform, submit
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.process.problems import Problem
 from pondtiller.routes.tenants import digest_of
@@ -19,7 +20,7 @@
 COLUMN = "keys"
 
 
-class TableKeyCommand(TableCommand):
+class TableKeyCommand(Command):
     """Add a key to a tenant, or revoke one."""
 
     name = "table key"
@@ -33,8 +34,11 @@
         option("file", "f", "File that holds the key; standard input if left out.", flag=False),
     ]
 
-    async def run_on(self, platform: Address) -> int:
+    def handle(self) -> int:
         """Submit the edit of the tenant's digests."""
+        return run_on_platform(self, self._run)
+
+    async def _run(self, platform: Address) -> int:
         tenant, action = self.argument("tenant"), self.argument("action")
         if action not in (ADD, REVOKE):
             return self._bad("action", f"give {ADD} or {REVOKE}")
@@ -43,7 +47,7 @@
                 return self._bad("key", reason)
             case Ok(key):
                 digest = digest_of(key)
-        seen = cell_text((await self.read_table(platform)).row(RowKind.TENANT, tenant), COLUMN)
+        seen = cell_text((await read_table(platform)).row(RowKind.TENANT, tenant), COLUMN)
         new = changed_digests(seen, digest, action)
         if new == seen:
             self.line(f"no difference: key {digest[:DIGEST_SHOWN]}")
@@ -53,7 +57,7 @@
         except ValidationError as error:
             return self._bad("tenant", explain(error))
         self.line(f"{action} key {digest[:DIGEST_SHOWN]}")
-        return await self.submit(platform, (change,))
+        return await submit(self, platform, (change,))
 
     def _bad(self, key: str, reason: str) -> int:
         return print_problems(self, [Problem("command line", key, reason)])
