--- a/src/pondtiller/gateway/metrics.py
+++ b/src/pondtiller/gateway/metrics.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 LATENCY_BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
-"""Upper bounds of the buckets, in seconds. Chosen: doubling, finer below 0.1 s, where commits lie."""
+"""Upper bounds of the buckets, in seconds. Chosen: doubling, finer where commits lie."""
 
 
 @dataclass
