--- a/src/pondtiller/gateway/link_service.py
+++ b/src/pondtiller/gateway/link_service.py
@@ -15,7 +15,7 @@
 
 
 class LinkService:
-    """Serves the links of other daemons: runs for a leader, texts for replicas, step calls."""
+    """Serves the links of other gateways: runs for a leader, texts for replicas, step calls."""
 
     def __init__(self, run_host: RunHost, replicas: ReplicaDirectory, duties: LeaderDuties) -> None:
         self._run_host = run_host
--- a/src/pondtiller/gateway/pages/__init__.py
+++ b/src/pondtiller/gateway/pages/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway tells operators: readiness, figures, the table with status.
+"""What a gateway shows operators: readiness, figures, the table with status.
 
 Reads the parts of a gateway and changes nothing.
 """
--- a/src/pondtiller/gateway/pages/figure_sources.py
+++ b/src/pondtiller/gateway/pages/figure_sources.py
@@ -23,7 +23,7 @@
 
 
 class FigureSources(NamedTuple):
-    """The parts of one gateway that its pages tell of."""
+    """The parts of one gateway that its pages show."""
 
     name: str
     metrics: GatewayMetrics
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -218,7 +218,7 @@
         )
 
     def _subscription(self) -> Subscribe:
-        """Return what replicas are told of this daemon, for a leader to find it."""
+        """Return what replicas keep of this gateway, for a leader to find it."""
         place = self.sockets.reached_at
         return Subscribe(
             daemon=self.settings.name,
@@ -244,7 +244,7 @@
         )
 
     def _rate_terms(self, subject: str) -> RateTerms | None:
-        """Return how this daemon, where it leads, grants shares of a rate."""
+        """Return how this gateway, where it leads, grants shares of a rate."""
         if subject.startswith(COLD_PREFIX):
             return self.cold.terms(subject.removeprefix(COLD_PREFIX))
         if subject.startswith(TENANT_PREFIX):
--- a/src/pondtiller/gateway/process.py
+++ b/src/pondtiller/gateway/process.py
@@ -25,7 +25,7 @@
 is not ready and to send callers elsewhere. Chosen, not measured."""
 STOP_MARGIN_SECONDS = 0.7
 """Before `durations.stop`, when the platform ends the process: open requests are left then, and the
-last counts of use are told. Chosen, not measured; `LAST_USE_SECONDS` of it are for the counts."""
+last counts of use are sent. Chosen, not measured; `LAST_USE_SECONDS` of it are for the counts."""
 OPEN_LOOK_SECONDS = 0.05
 """Between two looks at whether anything is open: a stop takes this much longer at most. Chosen."""
 LAST_USE_SECONDS = 0.4
--- a/src/pondtiller/gateway/sockets.py
+++ b/src/pondtiller/gateway/sockets.py
@@ -22,7 +22,7 @@
 
     @property
     def reached_at(self) -> Address:
-        """Where the other daemons reach this one."""
+        """Where the other gateways reach this one."""
         return to_address(self._announced) if self._announced else self.address(self.links)
 
     def address(self, listener: Any) -> Address:
--- a/src/pondtiller/process/logs.py
+++ b/src/pondtiller/process/logs.py
@@ -70,7 +70,7 @@
     """Writes lines to a descriptor without ever waiting for its reader.
 
     Each event has a budget of lines a second, so that one frequent event cannot push out the
-    others; what is left out is counted and told once a second.
+    others; what is left out is counted and logged once a second.
     """
 
     def __init__(self, descriptor: int, level: str) -> None:
--- a/src/pondtiller/process/run_until.py
+++ b/src/pondtiller/process/run_until.py
@@ -1,7 +1,7 @@
 """Runs one thing until another happens.
 
-Used where a caller may leave or another call learns more while an answer is waited for. What is
-cut short is cancelled, not told why.
+Used where a caller may leave or another call learns more while an answer is waited for. What is cut
+short is cancelled.
 """
 
 from collections.abc import Awaitable, Callable
--- a/src/pondtiller/process/signals.py
+++ b/src/pondtiller/process/signals.py
@@ -55,4 +55,4 @@
 
 
 def _ignore(_number: int, _frame: FrameType | None) -> None:
-    """Keep the default action from ending the process; the socket pair tells the rest."""
+    """Keep the default action from ending the process; the socket pair does the rest."""
--- a/src/pondtiller/replica/process.py
+++ b/src/pondtiller/replica/process.py
@@ -131,7 +131,7 @@
         logs.decision("reloaded", replica=settings.name, changed=settings != self.settings)
 
     async def _register(self) -> None:
-        """Write this replica's object, so that daemons find it."""
+        """Write this replica's object, so that gateways find it."""
         name, spec = self.settings.name, objects.replica_spec(self.replica.member)
         while True:
             try:
--- a/src/pondtiller/replica/server.py
+++ b/src/pondtiller/replica/server.py
@@ -2,7 +2,7 @@
 
 Owns the links of gateways that subscribed, and what waits for the disk, in memory. Relies on
 `steplog.replica` for each answer and on `LogFile` to make it last; answers nothing while the disk
-refuses. It elects nobody: it tells whom its replica follows.
+refuses. It elects nobody: it reports whom its replica follows.
 """
 
 import uuid
@@ -39,9 +39,9 @@
 )
 
 VIEW_SECONDS = 1.0
-"""Between two tells of whom this replica follows, where nothing changes; a change is told at once.
-A gateway takes a word older than 1.2 s (`peers.replicas.STALE_VIEW_SECONDS`) for no word.
-Chosen."""
+"""Between two reports of whom this replica follows, where nothing changes; a change is reported at
+once. A gateway ignores a report older than 1.2 s (`peers.replicas.STALE_VIEW_SECONDS`). Chosen, not
+measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,7 +161,7 @@
     def _sync(self, records: list[DiskRecord]) -> bool:
         """Make records durable; False where the disk takes no more.
 
-        Nothing may be answered then, not even what needs no record: it might tell of what is
+        Nothing may be answered then, not even what needs no record: it might reveal what is
         in memory only, and a leader would count it as the answer to an earlier write. The
         records wait, and are written before any later answer leaves.
         """
--- a/src/pondtiller/settings.py
+++ b/src/pondtiller/settings.py
@@ -104,7 +104,7 @@
     address
         Where it is; empty where there is none.
     duties
-        Calls that one daemon at a time is to make there.
+        Calls that one gateway at a time, the leader, is to make there.
     """
 
     address: OptionalAddress = ""
@@ -181,7 +181,7 @@
     ----------
     callers, readiness, links
         Addresses to listen on: for callers and trainers, for readiness and metrics, for the
-        other daemons. The kernel chooses where a port is 0.
+        other gateways. The kernel chooses where a port is 0.
     announced_links
         Address at which others reach `links`; empty where it is the one listened on.
     store
@@ -193,7 +193,7 @@
     regions
         Region by zone, of all zones; empty where all lie in one.
     rate_excess
-        Part by which all daemons together may exceed a tenant's rate.
+        Part by which all gateways together may exceed a tenant's rate.
     """
 
     name: str
@@ -235,7 +235,7 @@
     Attributes
     ----------
     links
-        Address to listen on for the daemons.
+        Address to listen on for the gateways.
     announced_links
         Address at which they reach it; empty where it is the one listened on.
     data_folder
--- a/src/pondtiller/store/evacuation_bounds.py
+++ b/src/pondtiller/store/evacuation_bounds.py
@@ -1,8 +1,9 @@
-"""From the acknowledgement of an evacuation until no machine in touch sends anything there.
+"""From the acknowledgement of an evacuation until no connected gateway sends anything there.
 
 One place for the waits on that way, in seconds, and their sum: settings that promise less are
-refused. Owns no state; relies on the constants of the modules that wait. It bounds what is told,
-not what already runs in the zone. docs/design/19-evacuations.md has the table of what may fail.
+refused. Owns no state; relies on the constants of the modules that wait. It bounds when news
+arrives, not how long requests that already run in the zone go on. docs/design/19-evacuations.md has
+the table of what may fail.
 """
 
 from pondtiller.platform.object_client import WATCH_MARGIN_SECONDS
@@ -18,7 +19,7 @@
 
 DIRECT_WAIT_SECONDS = 2.5
 """Longest wait of a gateway that asks the store itself. A call that hangs since its path was cut
-must have ended within the 4 s in which the platform takes a machine to be in touch again."""
+must have ended within the 4 s after which the platform counts a machine as connected again."""
 SEND_SECONDS = 0.2
 """From the last look at the gate until the request is at the engine."""
 
@@ -30,11 +31,11 @@
 )
 """The first mirror is silent through its wait, or the second one is turned away by the store and
 says so last; mirrors are looked for a little longer, the last one asked is silent, the store
-itself tells."""
+itself answers."""
 DIRECT_NEWS_SECONDS = (
     DIRECT_WAIT_SECONDS + WATCH_MARGIN_SECONDS + STORE_RETRY_SECONDS + STORE_SECONDS
 )
-"""A call to the store hangs to its end, and the next one tells."""
+"""A call to the store hangs to its end, and the next one brings the news."""
 LONGEST_SECONDS = max(MIRRORED_NEWS_SECONDS, DIRECT_NEWS_SECONDS) + SEND_SECONDS
 
 
--- a/src/pondtiller/store/evacuation_watch.py
+++ b/src/pondtiller/store/evacuation_watch.py
@@ -3,7 +3,7 @@
 An object stands for each evacuated zone, and its end takes the evacuation back. What was known
 stays in force while nothing is heard. Until the first listing nothing may reach any engine.
 
-Owns the zones in force with the revisions that told them, in memory: a start lists them anew.
+Owns the zones in force with the revisions of their objects, in memory: a start lists them anew.
 Relies on `MirroredStore`. Holds no request back itself: `routes.send_gate` does.
 """
 
@@ -18,7 +18,7 @@
 
 
 class EvacuationWatch:
-    """Keeps the engines' directory told which zones are evacuated.
+    """Keeps the engines' directory up to date on which zones are evacuated.
 
     Parameters
     ----------
@@ -113,7 +113,7 @@
         return sum(each.entry.zone == zone for each in self._engines.engines.values())
 
     def _oddness(self, found: StoreObject) -> str:
-        """Return what is odd about an evacuation; it is in force all the same."""
+        """Return what is unusual about an evacuation; it is in force all the same."""
         if found.spec != {}:
             return "its content is not empty"
         if found.name not in self._zones and not self._count(found.name):
--- a/src/pondtiller/store/leader_store.py
+++ b/src/pondtiller/store/leader_store.py
@@ -6,7 +6,7 @@
 to pass its calls on.
 
 Owns only whether the store refused lately. Relies on the links to the group's members. Takes no
-listing older than what was told before; it doesn't ask mirrors for what they hold.
+listing older than what was read before; it doesn't ask mirrors for what they hold.
 """
 
 from collections.abc import Awaitable, Callable, Mapping
@@ -26,15 +26,15 @@
 from pondtiller.wire.steplog import MirrorPage, ReadMirror
 
 OWN_RETRY_SECONDS = 2.0
-"""How long after a refusal the store itself is not asked, where replicas can tell: every call has
-a price, and what replicas tell is as new."""
+"""How long after a refusal the store itself is not asked, where replicas can answer: every call has
+a price, and what replicas pass on is as new."""
 PROBE_WAIT_SECONDS = 0.5
 """How long the first call after a refusal waits for changes: until it is answered nothing else is
 heard of its kind."""
 
 LONGEST_PASSED_WAIT_SECONDS = 0.8
 """How long a call that is passed on waits: a replica that falls silent is left after it and 0.6 s,
-and the next one tells what there is: 2 s in all, as long as an engine that leaves may go on
+and the next one answers with what there is: 2 s in all, as long as an engine that leaves may go on
 getting work at the least."""
 
 AskReplicas = Callable[[ReadMirror], Awaitable[MirrorPage | None]]
@@ -46,11 +46,11 @@
     Parameters
     ----------
     ask_replicas
-        Has a replica ask the store; None where none can tell.
+        Has a replica ask the store; None where none can answer.
     known
-        Revisions that were told before, by kind: no older listing is taken from a replica.
+        Revisions that were read before, by kind: no older listing is taken from a replica.
     note_reader
-        Told who gave an answer, by kind: `store`, where replicas did not.
+        Called with who gave an answer, by kind: `store`, where replicas did not.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._refused = curio.Event()
 
     async def list_all(self, kind: str) -> StoreListing:
-        """Return all objects of a kind; raises `StoreCallError` where nobody can tell."""
+        """Return all objects of a kind; raises `StoreCallError` where nobody can answer."""
         page = await self._listed_by_replicas(kind) if self._is_paused() else None
         if page is not None:
             return read_listing(page)
--- a/src/pondtiller/store/mirror.py
+++ b/src/pondtiller/store/mirror.py
@@ -44,9 +44,9 @@
 shortest bound for a leaving engine is 2 s."""
 CHECK_SECONDS = 0.25
 """Between two looks of a waiting answer at whether the mirror is still fresh: a gateway that waits
-is told so this much late at most, which `evacuation_bounds` counts. Chosen, not measured."""
+learns it this much late at most, which `evacuation_bounds` counts. Chosen, not measured."""
 ALWAYS = (names.CONFIGURATIONS, names.ENGINES)
-"""Kinds that each mirror follows; it tells none of them while one is not heard of."""
+"""Kinds that each mirror follows; it answers for none of them while one of them is stale."""
 
 
 class FollowTimes(NamedTuple):
@@ -57,7 +57,7 @@
     wait_seconds
         How long a call waits for changes.
     fresh_seconds
-        Age above which the mirror tells nothing of the kind.
+        Age above which the mirror does not answer for the kind.
     """
 
     wait_seconds: float
@@ -140,7 +140,7 @@
         return clock.monotonic() - min(self._followed[kind].heard_at for kind in ALWAYS)
 
     def is_fresh(self) -> bool:
-        """Return whether what is mirrored may be told: each kind was heard of lately.
+        """Return whether the mirror may answer: each kind was read lately.
 
         One kind does not answer for the other: a call may hang that the store has forgotten.
         """
@@ -148,7 +148,7 @@
         return self.is_on and is_known and self.age_seconds < FRESH_SECONDS
 
     def _may_tell(self, kind: str) -> bool:
-        """Return whether a kind may be told; a further one answers for itself only."""
+        """Return whether the mirror may answer for a kind; a further one counts for itself only."""
         times = self._further.get(kind)
         if times is None:
             return kind in self.kinds and self.is_fresh()
--- a/src/pondtiller/store/mirrored_store.py
+++ b/src/pondtiller/store/mirrored_store.py
@@ -1,8 +1,8 @@
-"""The store as a gateway reads it: through a replica's mirror, or itself where none can tell.
+"""The store as a gateway reads it: through a replica's mirror, or itself where none can answer.
 
-Owns, in memory: the revision told of each kind, which an older answer never replaces; which mirrors
-are left out for a while; who told last. Relies on the links to replicas and on a client of the
-store. It keeps no objects: who watches does. `LONGEST_NEWS_SECONDS` is the sum of its waits.
+Owns, in memory: the revision returned of each kind, which an older answer never replaces; which
+mirrors are left out for a while; who answered last. Relies on the links to replicas and on a client
+of the store. It keeps no objects: who watches does. `LONGEST_NEWS_SECONDS` is the sum of its waits.
 """
 
 from collections.abc import Callable
@@ -32,21 +32,21 @@
 """A mirror that is cut off from this gateway is noticed when its wait is over, and an engine's
 leaving must be known within 2 s at the least."""
 REFUSED_SECONDS = 2.0
-"""How long a mirror is not asked again that could not tell."""
+"""How long a mirror is not asked again that could not answer."""
 FIRST_NOT_MIRRORED_SECONDS = 1.0
-"""How long no mirror is asked at first, in seconds, after one told that it does not mirror. With 10
-s from the start on, 60 gateways made some 440 calls to the store before any traffic."""
+"""How long no mirror is asked at first, in seconds, after one answered that it does not mirror.
+With 10 s from the start on, 60 gateways made some 440 calls to the store before any traffic."""
 NOT_MIRRORED_SECONDS = 10.0
-"""How long no mirror is asked after one told that too few gateways follow it: twice as long each
-time, since replicas have no followers yet in the second in which a whole system starts."""
+"""How long no mirror is asked after one answered that too few gateways follow it: twice as long
+each time, since replicas have no followers yet in the second in which a whole system starts."""
 TOLD_SECONDS = 0.6
 """How long after an answer only mirrors are asked for changes: the others of the group may be
-able to tell, and after a start of all machines they are within this time."""
+able to answer, and after a start of all machines they are within this time."""
 RETRY_SECONDS = 0.1
 """Between two looks for a mirror within `TOLD_SECONDS`. Chosen, not measured: a look costs no call
 where no mirror is usable; `evacuation_bounds` counts it once."""
 MOST_MIRRORS = 2
-"""Mirrors asked for one answer; where these cannot tell, the store itself is asked."""
+"""Mirrors asked for one answer; where these cannot answer, the store itself is asked."""
 STORE_SECONDS = 0.2
 """Time for the store's own answer: 4 ms, 50 times that when it is slow."""
 LONGEST_NEWS_SECONDS = (
@@ -76,7 +76,7 @@
     Parameters
     ----------
     asks_store
-        Returns whether this daemon leads: it then asks the store itself for `LEADER_KINDS`.
+        Returns whether this gateway leads: it then asks the store itself for `LEADER_KINDS`.
     places
         Zones with their regions.
 
@@ -85,7 +85,7 @@
     reader
         Who gave the last answer, by kind: a replica's name, or `store`.
     follows_mirrors
-        Whether a mirror has told this gateway anything since one said that it does not mirror.
+        Whether a mirror has answered this gateway since one said that it does not mirror.
     for_leader
         The store as this gateway reads it while it leads.
     """
@@ -115,7 +115,7 @@
         self.for_leader = LeaderStore(store, self._ask_members, self._known, self._note_reader)
 
     async def list_all(self, kind: str) -> StoreListing:
-        """Return all objects of a kind, never older than what was told before."""
+        """Return all objects of a kind, never older than what was returned before."""
         page = await self._ask_mirrors(ReadMirror(kind=kind), 0.0)
         if page is not None and page.at >= self._known.get(kind, 0):
             return self._told(kind, read_listing(page))
@@ -131,7 +131,7 @@
             page = await self._ask_mirrors(message, wait)
         if page is None:
             if self._may_ask_mirrors(kind) and self._knows_mirrors():
-                # The mirrors may tell again soon; a long call to the store may hang for its wait.
+                # The mirrors may answer again soon; a long call to the store may hang for its wait.
                 wait_seconds = wait
             return self._told(kind, await self._ask_store(kind).watch(kind, at, wait_seconds))
         if page.status == MirrorStatus.HISTORY_GONE:
@@ -143,11 +143,11 @@
         return not self._asks_itself(kind) and clock.monotonic() >= self._not_before
 
     def _asks_itself(self, kind: str) -> bool:
-        """Return whether this daemon leads and needs each change of a kind at once."""
+        """Return whether this gateway leads and needs each change of a kind at once."""
         return kind in LEADER_KINDS and self._asks_store()
 
     def _knows_mirrors(self) -> bool:
-        """Return whether there is a link to any replica, whether or not it could tell lately."""
+        """Return whether there is a link to any replica, whether or not it could answer lately."""
         return any(place.link is not None for place in self._replicas.places.values())
 
     def _may_wait(self, kind: str) -> bool:
@@ -174,7 +174,7 @@
             logs.decision("store_reader", kind=kind, reader=reader, before=before or "")
 
     async def _ask_mirrors(self, message: ReadMirror, wait: float) -> MirrorPage | None:
-        """Return the answer of the first mirror that can tell; None where none can."""
+        """Return the answer of the first mirror that can give one; None where none can."""
         if not self._may_ask_mirrors(message.kind):
             return None
         for mirror in self._mirrors()[:MOST_MIRRORS]:
@@ -197,7 +197,7 @@
         return None
 
     async def _ask_members(self, message: ReadMirror) -> MirrorPage | None:
-        """Return what a member of the group hears from the store; None where none can tell."""
+        """Return what a member of the group hears from the store; None where none can answer."""
         wait = message.wait_milliseconds / 1000.0
         in_group = {member.name for member in self._replicas.group.members}
         members = [each for each in self._mirrors() if each.name in in_group]
@@ -212,9 +212,9 @@
         return None
 
     def _leave_mirrors(self) -> None:
-        """Ask no mirror for a while, longer each time until one tells.
+        """Ask no mirror for a while, longer each time until one answers.
 
-        The watches of both kinds are told at about the same time, which counts once.
+        The watches of both kinds get that answer at about the same time, which counts once.
         """
         self.follows_mirrors = False
         now = clock.monotonic()
@@ -224,7 +224,7 @@
         self._not_mirrored_seconds = min(2 * self._not_mirrored_seconds, NOT_MIRRORED_SECONDS)
 
     def _mirrors(self) -> list[Mirror]:
-        """Return the replicas that may tell: own zone, own region, then others."""
+        """Return the replicas that may answer: own zone, own region, then others."""
         now = clock.monotonic()
         found = [
             Mirror(place.view.replica.name, place.view.replica.zone, place.link)
--- a/src/pondtiller/store/store_watch.py
+++ b/src/pondtiller/store/store_watch.py
@@ -1,8 +1,8 @@
 """Watches on the platform's store: a kind listed once, then followed by its changes.
 
-A `Watch` owns the revision up to which it told everything, and begins anew with a listing after a
-start or where the history is gone. Relies on a `StoreReader`: the store's client, a mirror or
-the leader's way. It keeps no objects and reads none.
+A `Watch` owns the revision up to which it has passed on everything, and begins anew with a listing
+after a start or where the history is gone. Relies on a `StoreReader`: the store's client, a mirror
+or the leader's way. It keeps no objects and reads none.
 """
 
 import random
@@ -34,7 +34,7 @@
 `evacuation_bounds` counts one such pause."""
 LONGEST_RETRY_SECONDS = 1.0
 """Every call has a price, refused ones too; a second is a fifth of the shortest time that the
-platform gives a daemon to be in touch again."""
+platform gives a machine to be connected again."""
 
 Replace = Callable[[tuple[StoreObject, ...]], Awaitable[None]]
 Change = Callable[[StoreChange], Awaitable[None]]
@@ -79,7 +79,7 @@
     async def history_gone(self) -> None:
         """Take that the store, or a mirror, has forgotten a history that was asked for.
 
-        A call that reached the store in the moment of forgetting is not told: it hears nothing
+        A call that reached the store in the moment of forgetting gets no answer: it hears nothing
         for its whole wait, 6 s at the longest. So all waiting watches ask anew.
         """
         await self._wake_all()
@@ -109,7 +109,7 @@
         Take a whole listing, and one change.
     rest
         Returns for how many seconds to gather further changes before asking for them. Each
-        change is otherwise a call of each daemon.
+        change is otherwise a call of each gateway.
     wait_seconds
         How long one call waits for changes.
     longest_retry
@@ -118,7 +118,7 @@
     Attributes
     ----------
     at
-        Revision of the store up to which everything was told; 0 before the first listing.
+        Revision of the store up to which everything was passed on; 0 before the first listing.
     heard_at
         When the store last answered.
     """
