--- a/src/pondtiller/wire/steplog/__init__.py
+++ b/src/pondtiller/wire/steplog/__init__.py
@@ -44,7 +44,7 @@
 
 @dataclass(eq=False, repr=False)
 class OrderAge(betterproto.Message):
-    """How long ago a replica was told of an order to an engine."""
+    """How long ago a replica got the note of an order to an engine."""
 
     key: str = betterproto.string_field(1)
     milliseconds: int = betterproto.uint32_field(2)
@@ -53,8 +53,8 @@
 @dataclass(eq=False, repr=False)
 class Subscribe(betterproto.Message):
     """
-    Daemon to replica: tell me what you know, now and whenever it changes. The rest is for a
-     leader that looks for daemons to run samples; one that stops subscribes again without them.
+    Gateway to replica: send your view, now and whenever it changes. The rest is for a leader
+     that looks for runners; a gateway that stops subscribes again without them.
     """
 
     daemon: str = betterproto.string_field(1)
@@ -169,7 +169,7 @@
 @dataclass(eq=False, repr=False)
 class ReadLease(betterproto.Message):
     """
-    A daemon whose leader is silent asks a replica whether it hears the leader.
+    A gateway whose leader is silent asks a replica whether it hears the leader.
     """
 
     pass
@@ -207,7 +207,7 @@
 class KeepRuns(betterproto.Message):
     """
     Leader to runner, often: the leader lives, its runs go on. A runner that hears none for a
-     while ends them, before another leader can begin the same samples elsewhere.
+     while asks the replicas for the leader, and holds or ends its runs by what they answer.
     """
 
     epoch: int = betterproto.uint64_field(1)
@@ -265,7 +265,7 @@
     """The replica holds no group, and may become part of a first one."""
 
     order_holder: str = betterproto.string_field(8)
-    """The daemon that last claimed the right to order engines."""
+    """The gateway that last claimed the right to order engines."""
 
 
 @dataclass(eq=False, repr=False)
@@ -304,7 +304,7 @@
     """
 
     orders: List["OrderAge"] = betterproto.message_field(8)
-    """The orders that the replica was told of."""
+    """The orders whose notes the replica holds."""
 
 
 @dataclass(eq=False, repr=False)
@@ -348,7 +348,7 @@
     promised: int = betterproto.uint64_field(3)
     disk: str = betterproto.string_field(4)
     promised_to: str = betterproto.string_field(5)
-    """With a promise: the daemon that was promised."""
+    """With a promise: the gateway that was promised."""
 
     texts: List["SampleProgress"] = betterproto.message_field(6)
     """
@@ -493,7 +493,7 @@
     last_event: int = betterproto.uint64_field(4)
     after_event: int = betterproto.uint64_field(5)
     """
-    The events follow this one, of which the replica has been told; 0 where they are all.
+    The events follow this one, which the replica has; 0 where they are all.
     """
 
     epoch: int = betterproto.uint64_field(20)
@@ -562,17 +562,19 @@
 @dataclass(eq=False, repr=False)
 class UseTold(betterproto.Message):
     """
-    Daemon to leader, about once a second while there is something new: how many live requests
+    Gateway to leader, about once a second while there is something new: how many live requests
      of each tenant engines began here, by window. Counts only grow, so a message that comes
      twice or late adds nothing.
     """
 
     daemon: str = betterproto.string_field(1)
     incarnation: int = betterproto.uint64_field(2)
-    """Rises with each start of the daemon, which counts from 0 again."""
+    """Rises with each start of the gateway, which counts from 0 again."""
 
     wall_seconds: float = betterproto.double_field(3)
-    """The daemon's own time of day as it sent this, in seconds since 1970."""
+    """
+    The gateway's own time of day as it sent this, in seconds since 1970.
+    """
 
     complete_until: float = betterproto.double_field(4)
     """
@@ -592,7 +594,7 @@
     """A number of `rollouts.steps.StepStatus`."""
 
     epoch: int = betterproto.uint64_field(2)
-    """The leader's epoch: a new leader must be told everything again."""
+    """The leader's epoch: a new leader must get everything again."""
 
     agreed_seconds: float = betterproto.double_field(3)
     """
@@ -603,14 +605,14 @@
 @dataclass(eq=False, repr=False)
 class AskShares(betterproto.Message):
     """
-    A daemon to the leader, while it needs shares of rates that all daemons hold together.
+    Gateway to leader, while it needs shares of rates that all gateways hold together.
     """
 
     daemon: str = betterproto.string_field(1)
     incarnation: int = betterproto.uint64_field(2)
     sequence: int = betterproto.uint64_field(3)
     """
-    Rises with each message of one start of the daemon; what comes late is not taken.
+    Rises with each message of one start of the gateway; what comes late is not taken.
     """
 
     epoch: int = betterproto.uint64_field(4)
@@ -634,5 +636,5 @@
 
     totals: List[int] = betterproto.uint32_field(3)
     """
-    The whole rates of which these are shares: a daemon whose rows have a lower one lowers them.
+    The whole rates of which these are shares: a gateway whose rows have a lower one lowers them.
     """
