--- a/src/pondtiller/gateway/link_service.py
+++ b/src/pondtiller/gateway/link_service.py
@@ -1,4 +1,8 @@
-"""What a gateway does with messages of other daemons."""
+"""What a gateway does with messages of other gateways.
+
+Each goes to the part that owns the matter: runs to the run host, unfinished texts to the replicas,
+step calls and the like to what this gateway does as a leader. Owns no state.
+"""
 
 from betterproto import Message
 
@@ -11,7 +15,7 @@
 
 
 class LinkService:
-    """Serves the links of other daemons: runs for a leader, texts for replicas, step calls."""
+    """Serves the links of other gateways: runs for a leader, texts for replicas, step calls."""
 
     def __init__(self, run_host: RunHost, replicas: ReplicaDirectory, duties: LeaderDuties) -> None:
         self._run_host = run_host
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -1,4 +1,8 @@
-"""The parts of one gateway, made from its settings and joined; nothing of them runs yet."""
+"""The parts of one gateway, made from its settings and joined; nothing of them runs yet.
+
+Owns every part for the life of the process. A part that needs a later one is given a function that
+finds it. `process` starts, reloads and stops them; no rule stands here.
+"""
 
 from betterproto import Message
 
@@ -214,7 +218,7 @@
         )
 
     def _subscription(self) -> Subscribe:
-        """Return what replicas are told of this daemon, for a leader to find it."""
+        """Return what replicas keep of this gateway, for a leader to find it."""
         place = self.sockets.reached_at
         return Subscribe(
             daemon=self.settings.name,
@@ -240,7 +244,7 @@
         )
 
     def _rate_terms(self, subject: str) -> RateTerms | None:
-        """Return how this daemon, where it leads, grants shares of a rate."""
+        """Return how this gateway, where it leads, grants shares of a rate."""
         if subject.startswith(COLD_PREFIX):
             return self.cold.terms(subject.removeprefix(COLD_PREFIX))
         if subject.startswith(TENANT_PREFIX):
--- a/src/pondtiller/gateway/sockets.py
+++ b/src/pondtiller/gateway/sockets.py
@@ -1,4 +1,8 @@
-"""A gateway's listeners: for callers, for the platform's questions, for other daemons."""
+"""A gateway's listeners: for callers, for the platform's questions, for other gateways.
+
+Owns the three sockets, bound before the process starts. Figures are also served at the `metrics`
+address, whose socket `httpio.metrics_server` owns.
+"""
 
 from typing import Any
 
@@ -18,7 +22,7 @@
 
     @property
     def reached_at(self) -> Address:
-        """Where the other daemons reach this one."""
+        """Where the other gateways reach this one."""
         return to_address(self._announced) if self._announced else self.address(self.links)
 
     def address(self, listener: Any) -> Address:
--- a/src/pondtiller/process/signals.py
+++ b/src/pondtiller/process/signals.py
@@ -1,4 +1,7 @@
-"""Waits for the operating system's requests to stop or to reload."""
+"""Waits for the operating system's requests to stop or to reload.
+
+Owns the process's wakeup descriptor while it waits: one reader at a time, on the main thread.
+"""
 
 import signal
 import socket
@@ -52,4 +55,4 @@
 
 
 def _ignore(_number: int, _frame: FrameType | None) -> None:
-    """Keep the default action from ending the process; the socket pair tells the rest."""
+    """Keep the default action from ending the process; the socket pair does the rest."""
--- a/src/pondtiller/store/store_watch.py
+++ b/src/pondtiller/store/store_watch.py
@@ -1,4 +1,9 @@
-"""Watches on the platform's store: a kind listed once, then followed by its changes."""
+"""Watches on the platform's store: a kind listed once, then followed by its changes.
+
+A `Watch` owns the revision up to which it has passed on everything, and begins anew with a listing
+after a start or where the history is gone. Relies on a `StoreReader`: the store's client, a mirror
+or the leader's way. It keeps no objects and reads none.
+"""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -18,11 +23,18 @@
 from pondtiller.process.run_until import run_until
 
 WATCH_SECONDS = 6.0
+"""How long one call waits for changes. Each call has a price: with 3 s, the watches were most of
+623 calls of a quiet day. Longer waits leave a process longer on a store that is silently away; once
+it answers any watch of the process again, all others ask anew."""
 SHORTEST_FIRST_WATCH_SECONDS = 1.0
+"""First waits are drawn between this and the full wait, so that the watches of a process end at
+different times; also the wait of the first call after a failure. Chosen, not measured."""
 RETRY_SECONDS = 0.25
+"""The first pause after a failed call, doubled each time. Chosen, not measured:
+`evacuation_bounds` counts one such pause."""
 LONGEST_RETRY_SECONDS = 1.0
 """Every call has a price, refused ones too; a second is a fifth of the shortest time that the
-platform gives a daemon to be in touch again."""
+platform gives a machine to be connected again."""
 
 Replace = Callable[[tuple[StoreObject, ...]], Awaitable[None]]
 Change = Callable[[StoreChange], Awaitable[None]]
@@ -67,7 +79,7 @@
     async def history_gone(self) -> None:
         """Take that the store, or a mirror, has forgotten a history that was asked for.
 
-        A call that reached the store in the moment of forgetting is not told: it hears nothing
+        A call that reached the store in the moment of forgetting gets no answer: it hears nothing
         for its whole wait, 6 s at the longest. So all waiting watches ask anew.
         """
         await self._wake_all()
@@ -97,7 +109,7 @@
         Take a whole listing, and one change.
     rest
         Returns for how many seconds to gather further changes before asking for them. Each
-        change is otherwise a call of each daemon.
+        change is otherwise a call of each gateway.
     wait_seconds
         How long one call waits for changes.
     longest_retry
@@ -106,7 +118,7 @@
     Attributes
     ----------
     at
-        Revision of the store up to which everything was told; 0 before the first listing.
+        Revision of the store up to which everything was passed on; 0 before the first listing.
     heard_at
         When the store last answered.
     """
