--- a/src/pondtiller/gateway/callers/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -136,8 +136,9 @@
         headers = engine_format.forwarded_headers(request.headers, engine.identifier, left)
         if state.last_event:
             headers = engine_format.continued(headers, state.last_event)
-        await connection.send_plain(request.method, request.target, request.body, headers)
+        # Counted first: a connection that breaks meanwhile may have brought a part to the engine.
         state.tries.sent += 1
+        await connection.send_plain(request.method, request.target, request.body, headers)
         head = await connection.read_answer(request.identifier)
         self._forwarder.note_heard(engine)
         if not 200 <= head.status < 300:
