--- a/src/pondtiller/gateway/callers/tries.py
+++ b/src/pondtiller/gateway/callers/attempts.py
@@ -1,12 +1,19 @@
-"""What was tried for one request: engines, how attempts ended, and whether one may have run it."""
+"""The attempts of one request: engines, how attempts ended, and whether one may have run it.
+
+Owns the counts of one request, no longer than the request lasts. What an ended attempt means is
+decided in `routes.live_attempts`; nothing is sent here.
+"""
 
 from dataclasses import dataclass, field
 
 from pondtiller.errors import Ran
 from pondtiller.platform.engine_format import Headers
+from pondtiller.routes.engine_choice import Wanted
 from pondtiller.routes.engines import Engine
+from pondtiller.routes.live_attempts import AttemptEnd, HedgeInputs, WaitInputs
 from pondtiller.routes.live_queue import Ticket
 from pondtiller.routes.send_gate import Held
+from pondtiller.routes.table import RouteRow
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,49 +27,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
-    """How one attempt ended: an answer, or what went wrong.
+class EndedAttempt:
+    """An attempt that ended.
 
     Attributes
     ----------
-    is_held
-        Whether it did not leave, since the engine may get nothing now: the engine did not fail.
+    answer
+        None where none came, or not whole.
+    detail
+        For the log line, where there is no answer.
     seconds
-        How long it took.
+        How long the answer took.
     """
 
     engine: Engine
-    answer: WholeAnswer | None
+    end: AttemptEnd
+    answer: WholeAnswer | None = None
     detail: str = ""
-    may_have_run: bool = False
-    is_held: bool = False
     seconds: float = 0.0
 
 
 @dataclass
-class Tries:
-    """What was tried for one request.
+class RequestAttempts:
+    """What was attempted for one request.
 
     Attributes
     ----------
     engines
         Those that it was sent to, or is to be sent to.
     held_back
-        Those that it did not leave for, since they may get nothing now; they are no attempts.
+        Those that it did not leave for, since they may get nothing now; not counted.
     refused
         Those that refused it as not run, by their last answer.
     again
         Those among them that refused it as not run some time ago: it may be sent there again.
     unreached
-        Those to which it did not leave, since no connection came up; they are no attempts.
+        Those to which it did not leave, since no connection came up; not counted.
     running
         Attempts that have not ended.
+    sent
+        Attempts that left, less those that an engine refused as not run.
     last_began
-        When the last attempt began.
+        When the last attempt began, on the steady clock.
     ticket
         Its place among those that wait, once it had to.
-    sent
-        Attempts that left, less those that an engine refused as not run.
+    last_failure
+        The last answer with a status from 500 up, which goes back where no engine is left.
+    details
+        A word for each thing that happened, for the log line.
     """
 
     engines: set[str] = field(default_factory=set)
@@ -78,9 +90,44 @@
     details: list[str] = field(default_factory=list)
 
     @property
-    def passed_over(self) -> set[str]:
+    def passed_over(self) -> frozenset[str]:
         """Engines that are not to be chosen again."""
-        return (self.engines - self.again) | self.held_back | self.unreached
+        return frozenset((self.engines - self.again) | self.held_back | self.unreached)
+
+    @property
+    def ran(self) -> Ran:
+        """Whether an engine may have begun to work on it: sent, and not refused as not run."""
+        return Ran.UNKNOWN if self.sent else Ran.NO
+
+    def wanted(self, service: str, route: RouteRow) -> Wanted:
+        """Return what the request may still be sent to."""
+        return Wanted(
+            service=service,
+            homes=route.homes,
+            passed_over=self.passed_over,
+            again=frozenset(self.again),
+            engines_used=len(self.engines),
+            most_engines=route.attempts,
+        )
+
+    def hedge_inputs(self, route: RouteRow, is_suspect: bool) -> HedgeInputs:
+        """Return what decides whether a second attempt may run beside the first."""
+        return HedgeInputs(
+            may_repeat=route.may_repeat,
+            is_suspect=is_suspect,
+            engines_used=len(self.engines),
+            most_engines=route.attempts,
+        )
+
+    def wait_inputs(self, route: RouteRow, has_engine: bool) -> WaitInputs:
+        """Return what decides whether the request may wait for an engine."""
+        return WaitInputs(
+            has_engine=has_engine,
+            may_repeat=route.may_repeat,
+            was_refused=bool(self.refused | self.again),
+            engines_used=len(self.engines),
+            most_engines=route.attempts,
+        )
 
     def begin(self, engine: str, now: float) -> None:
         """Take that an attempt at an engine begins."""
@@ -102,12 +149,8 @@
         self.held_back.clear()
         self.unreached.clear()
 
-    def may_reach(self, engine: str, attempts: int) -> bool:
-        """Return whether a request that goes to so many engines at most may go to this one."""
-        return engine in self.again or len(self.engines) < attempts
-
     def unreachable(self, engine: Engine) -> None:
-        """Take that no connection came up: nothing left, so it is no attempt."""
+        """Take that no connection came up: nothing left, so the engine is not counted."""
         self.engines.discard(engine.identifier)
         self.unreached.add(engine.identifier)
 
@@ -116,8 +159,3 @@
         self.engines.discard(engine.identifier)
         self.held_back.add(engine.identifier)
         self.details.append(f"{engine.identifier}:held({reason.value})")
-
-    @property
-    def ran(self) -> Ran:
-        """Whether an engine may have begun to work on it: sent, and not refused as not run."""
-        return Ran.UNKNOWN if self.sent else Ran.NO
--- a/src/pondtiller/gateway/callers/forward.py
+++ b/src/pondtiller/gateway/callers/forward.py
@@ -1,60 +1,51 @@
-"""Sends callers' requests to engines: choice, attempts, and the truth about what ran."""
+"""Sends requests that are answered whole to engines, for callers and for the leader's scorers.
+
+Owns the requests on their way, the lines of those that wait, and what this gateway learned of its
+services; all of it is lost at a restart. I/O and the order of steps stand here; the rules are in
+`routes.engine_choice`, `routes.live_attempts`, `routes.live_queue` and `routes.retry_after`.
+
+Relies on `EngineSender` for how an attempt leaves, and on `SuspectContents` for contents that no
+engine may get. Does not look at keys, rates or homes (`front`), and passes no streams (`streams`).
+"""
 
 import random
 
 import curio
 
-from pondtiller.errors import ErrorKind, Failure, Ran
-from pondtiller.gateway.callers.race import ForwardedRequest, Race
-from pondtiller.gateway.callers.tries import Attempt, Tries, WholeAnswer
-from pondtiller.gateway.callers.waiting import LOOK_AGAIN_SECONDS, WaitingLine, WaitingLines
+from pondtiller.errors import Failure, Ran
+from pondtiller.gateway.callers.attempts import EndedAttempt, RequestAttempts, WholeAnswer
+from pondtiller.gateway.callers.request import ForwardedRequest, WholeRequest
+from pondtiller.gateway.callers.sending import EngineSender
+from pondtiller.gateway.callers.waiting import WaitingLine, WaitingLines
 from pondtiller.gateway.engines.cold_sends import ColdSends
 from pondtiller.gateway.engines.engine_ends import EngineEnds
-from pondtiller.gateway.engines.engine_pool import (
-    AnswerHead,
-    EngineConnection,
-    EnginePool,
-    HeldBackError,
-    SilentEngineError,
-)
+from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, HeldBackError
 from pondtiller.gateway.engines.suspects import SuspectContents
+from pondtiller.gateway.engines.zone_reach import ZoneReach
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.httpio.client import BrokenError, NotSentError
 from pondtiller.platform import engine_format
 from pondtiller.process import clock, logs
-from pondtiller.routes.answer_times import AnswerTimes, SmoothedTime
+from pondtiller.routes.engine_choice import EngineChoice
 from pondtiller.routes.engines import Engine, EngineDirectory
-from pondtiller.routes.live_queue import LiveQueue, Pace, Ticket, may_get, pace_of
-from pondtiller.routes.places import Distance
-from pondtiller.routes.send_gate import Held, SendGate
-from pondtiller.routes.silent_zones import SilentZones
+from pondtiller.routes.live_attempts import (
+    AnswerFacts,
+    AttemptEnd,
+    NextStep,
+    end_of_answer,
+    error_without_engines,
+    error_without_time,
+    is_overdue,
+    judge,
+    may_hedge,
+    may_wait,
+)
+from pondtiller.routes.live_queue import LiveQueue, Ticket
+from pondtiller.routes.send_gate import SendGate
+from pondtiller.routes.service_times import ServiceTimes
 from pondtiller.routes.table import RequestKind, RouteRow
 
-OVERDUE_TIMES = 2.0
-"""A request that waits for twice the usual time is taken to be at an engine that is gone."""
-HEDGE_FILL = 0.5
-QUEUE_FILL = 2.0
-ZONE_COST = 0.15
-"""An engine in another zone, against a full one. Load: live requests; 3 ms there and back, and
-bytes between zones."""
-REGION_COST = 0.6
-"""An engine in another region, against a full one. Load: live requests; 40 ms there and back is as
-long as most of them take, and bytes between regions cost more. Near engines come first until more
-than half of their places are taken by this daemon's own requests."""
-SILENT_ANSWER_SECONDS = 0.5
-"""An engine that was left, or broke off, without a word for as long as a connection may take, on
-one that was kept: its zone may be cut off."""
-DISTANCE_COSTS = {
-    Distance.SAME_ZONE: 0.0,
-    Distance.SAME_REGION: ZONE_COST,
-    Distance.OTHER_REGION: REGION_COST,
-}
-CONNECTION_COST = 0.3
-JITTER = 0.1
-SLOWER_THAN_USUAL = 2.0
-MOST_SLOWNESS_COST = 1.0
-
 
 class Forwarder:
     """Sends requests to engines on behalf of callers and of the leader's scorers.
@@ -62,11 +53,11 @@
     Parameters
     ----------
     zone
-        Zone of this daemon; engines in it are preferred.
+        Zone of this gateway; engines in it are preferred.
     gate
-        Asked right before a request leaves.
+        Asked right before an attempt leaves.
     cold
-        Which engines are cold, and this daemon's shares of them; None where none ever is.
+        Which engines are cold, and this gateway's shares of them; None where none ever is.
 
     Attributes
     ----------
@@ -74,6 +65,12 @@
         Contents under which engines ended.
     ends
         Asked whether an engine has ended at which a request broke off.
+    choice
+        Chooses engines, for streams too.
+    zones
+        Takes which zones answer.
+    cold
+        As given.
     """
 
     def __init__(
@@ -86,47 +83,26 @@
         cold: ColdSends | None = None,
         suspects: SuspectContents | None = None,
     ) -> None:
-        self._zone = zone
-        self._silent_zones = SilentZones(zone)
-        self._cold = cold
         self._engines = engines
-        self.suspects = suspects or SuspectContents(metrics)
-        self.ends = EngineEnds(engines, pool, metrics, self.suspects)
-        self._gate = gate
         self._pool = pool
         self._metrics = metrics
-        self._times: dict[str, AnswerTimes] = {}
-        self._row_times: dict[str, SmoothedTime] = {}
-        self._probed_at: dict[str, float] = {}
-        self._random = random.Random(f"{zone}/{clock.new_incarnation()}")
-        self._lines = WaitingLines(self._random)
-
-    def choose(
-        self, service: str, tried: set[str], homes: frozenset[str] = frozenset()
-    ) -> Engine | None:
-        """Return the engine with the least work, preferring near ones and open connections.
-
-        Engines of zones from which nothing answers, and those that failed just now, come last.
-        """
-        now = clock.monotonic()
-        usable = self._engines.usable(service, now, homes)
-        fresh = [each for each in usable if each.identifier not in tried]
-        if self._cold is not None:
-            fresh = self._cold.preferred(fresh, now)
-        heard = [
-            each for each in fresh if not self._silent_zones.is_silent(each.entry.zone, now)
-        ] or fresh
-        rested = [each for each in heard if now >= each.not_before] or heard
-        usual = min((each.answer_seconds for each in rested if each.answer_seconds), default=0.0)
-        return min(rested, key=lambda each: self._cost(each, usual), default=None)
-
-    def _cost(self, engine: Engine, usual: float) -> float:
-        cost = engine.running / engine.entry.slots + self._random.random() * JITTER
-        if usual and engine.answer_seconds > usual * SLOWER_THAN_USUAL:
-            cost += min(MOST_SLOWNESS_COST, engine.answer_seconds / usual - SLOWER_THAN_USUAL)
-        cost += DISTANCE_COSTS[self._engines.places.distance(self._zone, engine.entry.zone)]
-        cost += 0.0 if self._pool.has_kept(engine.identifier) else CONNECTION_COST
-        return cost
+        self._times = ServiceTimes(engines)
+        rng = random.Random(f"{zone}/{clock.new_incarnation()}")
+        self._lines = WaitingLines(rng)
+        self.cold = cold
+        self.suspects = suspects or SuspectContents(metrics)
+        self.ends = EngineEnds(engines, pool, metrics, self.suspects)
+        self.choice = EngineChoice(zone, engines, pool.has_kept, cold, rng)
+        self.zones = ZoneReach(self.choice.silent_zones)
+        self._sender = EngineSender(pool, gate, self.suspects, cold)
+
+    def has_room(self, service: str, homes: frozenset[str]) -> bool:
+        """Return whether an engine in the homes would begin a request soon, by own work."""
+        return self.choice.has_room(service, homes, clock.monotonic())
+
+    def usual_seconds(self, service: str) -> float:
+        """Return the time within which nearly all answers of a service came here."""
+        return self._times.usual_seconds(service)
 
     async def whole(self, request: ForwardedRequest, route: RouteRow) -> WholeAnswer | Failure:
         """Return an engine's whole answer, or why there is none.
@@ -134,286 +110,160 @@
         What may be repeated goes to a second engine too when the first is silent for longer than
         nearly all answers take; the first good answer counts, and the other engine is left.
         """
-        race = Race(request, route, route.choose_service(request.identifier))
+        whole = WholeRequest(request, route, route.choose_service(request.identifier))
         try:
-            answer = await self._race(race)
+            answer = await self._run(whole)
         finally:
-            await race.attempts.cancel_all()
-        self._log(race, answer)
+            await whole.tasks.cancel_all()
+        self._log(whole, answer)
         return answer
 
-    async def _race(self, race: Race) -> WholeAnswer | Failure:
-        request, route, tries = race.request, race.route, race.tries
+    async def _run(self, whole: WholeRequest) -> WholeAnswer | Failure:
+        request, route, attempts = whole.request, whole.route, whole.attempts
         while True:
             now = clock.monotonic()
             if now >= request.deadline:
-                return self._late(route, tries)
-            if not tries.running:
+                return self._late(route, attempts)
+            if not attempts.running:
                 if self.suspects.is_held(request.content):
-                    return self.suspects.refuse(request.content, tries.ran)
-                failure = await self._start_in_turn(race)
+                    return self.suspects.refuse(request.content, attempts.ran)
+                failure = await self._begin_in_turn(whole)
                 if failure is not None:
                     return failure
             patience = request.deadline - now
-            usual = self.usual_seconds(race.service)
-            if self._may_hedge(race):
+            usual = self.usual_seconds(whole.service)
+            if self._may_hedge(whole):
                 patience = min(patience, usual)
             try:
-                attempt = await curio.timeout_after(patience, race.ended.get)
+                ended = await curio.timeout_after(patience, whole.ended.get)
             except curio.TaskTimeout:
-                now = clock.monotonic()
-                is_overdue = now >= tries.last_began + OVERDUE_TIMES * usual
-                if now < request.deadline and (is_overdue or self._has_spare(race)):
-                    await self._start(race)
+                await self._hedge(whole, usual)
                 continue
-            tries.running -= 1
-            answer = self._judge(attempt, route, tries)
+            attempts.running -= 1
+            answer = self._judge(ended, route, attempts)
             if answer is not None:
                 return answer
 
-    def _has_spare(self, race: Race) -> bool:
-        """Return whether another engine is free enough for an early second try.
-
-        Where engines are slow because they are full, second tries only fill them more. A
-        request that is overdue gets its second try all the same: its engine may be gone.
-        """
-        engine = self._choose_with_room(race)
-        return engine is not None and engine.running < engine.entry.slots * HEDGE_FILL
-
-    def usual_seconds(self, service: str) -> float:
-        """Return the time within which nearly all answers of a service came here."""
-        return self._times.setdefault(service, AnswerTimes()).usual_seconds
-
-    def has_room(self, service: str, homes: frozenset[str]) -> bool:
-        """Return whether an engine in the homes would begin a request soon, by own work."""
-        engine = self.choose(service, set(), homes)
-        return engine is not None and engine.running < engine.entry.slots * QUEUE_FILL
+    def _may_hedge(self, whole: WholeRequest) -> bool:
+        is_suspect = self.suspects.is_suspect(whole.request.content)
+        return may_hedge(whole.attempts.hedge_inputs(whole.route, is_suspect))
 
-    def _may_hedge(self, race: Race) -> bool:
-        """Return whether a second engine may get it too: not where an engine ended under it."""
-        if self.suspects.is_suspect(race.request.content):
-            return False
-        return race.route.may_repeat and len(race.tries.engines) < race.route.attempts
-
-    async def _start(self, race: Race) -> bool:
+    async def _hedge(self, whole: WholeRequest, usual_seconds: float) -> None:
+        """Begin an attempt beside those that run, where one is overdue or an engine is free."""
+        now = clock.monotonic()
+        if now >= whole.request.deadline:
+            return
+        attempts = whole.attempts
+        if is_overdue(attempts.last_began, usual_seconds, now) or self.choice.has_spare(
+            attempts.wanted(whole.service, whole.route), now
+        ):
+            await self._begin(whole)
+
+    async def _begin(self, whole: WholeRequest) -> bool:
         """Begin an attempt at another engine; False where none may get the request now."""
-        if self.suspects.is_held(race.request.content):
+        if self.suspects.is_held(whole.request.content):
             return False
-        engine = self._choose_with_room(race)
+        now = clock.monotonic()
+        engine = self.choice.choose_with_room(
+            whole.attempts.wanted(whole.service, whole.route), now
+        )
         if engine is None:
             return False
-        now = clock.monotonic()
-        if engine.failures and now < engine.not_before:
-            self._probed_at[race.service] = now
-        race.tries.begin(engine.identifier, now)
-        await race.attempts.spawn(self._try, engine, race)
+        self.choice.note_attempt(whole.service, engine, now)
+        whole.attempts.begin(engine.identifier, now)
+        await whole.tasks.spawn(self._attempt, engine, whole)
         return True
 
-    def _choose_with_room(self, race: Race) -> Engine | None:
-        """Return the best engine that may get a request now.
-
-        Where others are only full, one that failed just now does not get it, since waiting for
-        room costs less than waiting for a connection that does not come up; nor does a cold one.
-        """
-        now = clock.monotonic()
-        route, tries = race.route, race.tries
-        excluded = tries.passed_over
-        some_full = False
-        while True:
-            engine = self.choose(race.service, excluded, route.homes)
-            if engine is None or (some_full and self._is_last_resort(engine, now)):
-                return None
-            if not self._may_probe(engine, now):
-                return None
-            if tries.may_reach(engine.identifier, route.attempts):
-                if may_get(engine, now):
-                    return engine
-                some_full = True
-            excluded = excluded | {engine.identifier}
-
-    def _may_probe(self, engine: Engine, now: float) -> bool:
-        """Return whether an engine that failed just now may be tried before its pause ends.
-
-        Load: all engines of a service are gone and many requests wait. One try now and then finds
-        out for all of them when an engine is back.
-        """
-        if engine.failures == 0 or now >= engine.not_before:
-            return True
-        return now >= self._probed_at.get(engine.entry.service, 0.0) + LOOK_AGAIN_SECONDS
-
-    def _is_last_resort(self, engine: Engine, now: float) -> bool:
-        is_cold = self._cold is not None and self._cold.is_cold(engine, now)
-        return is_cold or now < engine.not_before
-
-    async def _start_in_turn(self, race: Race) -> WholeAnswer | Failure | None:
+    async def _begin_in_turn(self, whole: WholeRequest) -> WholeAnswer | Failure | None:
         """Begin an attempt, after those that are more urgent; return a failure where none began."""
-        line = self._lines.of(race.service, race.route.homes)
-        if not line.queue and await self._start(race):
+        line = self._lines.of(whole.service, whole.route.homes)
+        if not line.queue and await self._begin(whole):
             return None
-        if not self._may_wait(race):
-            return self._exhausted(race, line.queue)
-        ticket = self._enter(race, line)
+        if not self._may_wait(whole):
+            return self._exhausted(whole, line.queue)
+        ticket = self._enter(whole, line)
         if ticket is None:
             # It would be late behind the others, but it is not refused while a place is free.
-            if line.queue and await self._start(race):
+            if line.queue and await self._begin(whole):
                 return None
-            return self._exhausted(race, line.queue)
+            return self._exhausted(whole, line.queue)
         try:
             while clock.monotonic() < ticket.leave_by:
                 await line.wait_turn(ticket)
-                if self.suspects.is_held(race.request.content):
-                    return self.suspects.refuse(race.request.content, race.tries.ran)
-                race.tries.look_again(race.route.may_repeat)
-                if line.queue.first is ticket and await self._start(race):
+                if self.suspects.is_held(whole.request.content):
+                    return self.suspects.refuse(whole.request.content, whole.attempts.ran)
+                whole.attempts.look_again(whole.route.may_repeat)
+                if line.queue.first is ticket and await self._begin(whole):
                     return None
         finally:
             line.queue.leave(ticket)
             await line.turn.set()
-        return self._exhausted(race, line.queue)
-
-    def _enter(self, race: Race, line: WaitingLine) -> Ticket | None:
-        request, route, tries = race.request, race.route, race.tries
-        if tries.ticket is not None:
-            line.queue.enter_again(tries.ticket)
-            return tries.ticket
-        now, pace = clock.monotonic(), self._pace(route, race.service)
-        tries.ticket = line.queue.enter(route.priority, request.deadline, now, pace)
-        if tries.ticket is not None:
-            tries.details.append("waits")
-        return tries.ticket
-
-    def _may_wait(self, race: Race) -> bool:
-        """Return whether an engine that is known may get the request later."""
-        route, tries = race.route, race.tries
-        if not self._engines.usable(race.service, clock.monotonic(), route.homes):
-            return False
-        may_go_again = route.may_repeat and bool(tries.refused | tries.again)
-        return len(tries.engines) < route.attempts or may_go_again
+        return self._exhausted(whole, line.queue)
 
-    def _pace(self, route: RouteRow, service: str) -> Pace:
-        now = clock.monotonic()
-        own = self._row_times.get(route.name)
-        usable = self._engines.usable(service, now, route.homes)
-        return pace_of(usable, own.seconds(now) if own is not None else 0.0)
+    def _may_wait(self, whole: WholeRequest) -> bool:
+        usable = self._engines.usable(whole.service, clock.monotonic(), whole.route.homes)
+        return may_wait(whole.attempts.wait_inputs(whole.route, bool(usable)))
 
-    async def _try(self, engine: Engine, race: Race) -> None:
-        request, tries, ended = race.request, race.tries, race.ended
+    def _enter(self, whole: WholeRequest, line: WaitingLine) -> Ticket | None:
+        request, route, attempts = whole.request, whole.route, whole.attempts
+        if attempts.ticket is not None:
+            line.queue.enter_again(attempts.ticket)
+            return attempts.ticket
+        now = clock.monotonic()
+        pace = self._times.pace(route, whole.service, now)
+        attempts.ticket = line.queue.enter(route.priority, request.deadline, now, pace)
+        if attempts.ticket is not None:
+            attempts.details.append("waits")
+        return attempts.ticket
+
+    async def _attempt(self, engine: Engine, whole: WholeRequest) -> None:
+        """Make one attempt, and say in the request's queue how it ended."""
+        request, attempts, ended = whole.request, whole.attempts, whole.ended
         began = clock.monotonic()
         try:
-            answer = await self._attempt(engine, request, tries)
+            answer = await self._send(engine, request, attempts)
             seconds = clock.monotonic() - began
-            await ended.put(Attempt(engine, answer, seconds=seconds))
+            end = end_of_answer(_facts(answer))
+            await ended.put(EndedAttempt(engine, end, answer, seconds=seconds))
         except HeldBackError as error:
-            tries.hold_back(engine, error.reason)
-            await ended.put(Attempt(engine, None, is_held=True))
+            attempts.hold_back(engine, error.reason)
+            await ended.put(EndedAttempt(engine, AttemptEnd.HELD_BACK))
         except NotSentError as error:
-            self.note_unreachable(engine, error)
-            tries.unreachable(engine)
-            await ended.put(Attempt(engine, None, f"{engine.identifier}:unreachable"))
+            self.zones.note_unreachable(engine, error)
+            attempts.unreachable(engine)
+            detail = f"{engine.identifier}:unreachable"
+            await ended.put(EndedAttempt(engine, AttemptEnd.UNREACHABLE, detail=detail))
         except BrokenError as error:
             has_ended = await self.ends.confirm(
                 engine.identifier, engine.entry.address, request.identifier, request.content
             )
             how = "ended" if has_ended else "broken"
-            broken = f"{engine.identifier}:{how}({error})"
-            await ended.put(Attempt(engine, None, broken, may_have_run=True))
-
-    def _judge(
-        self, attempt: Attempt, route: RouteRow, tries: Tries
-    ) -> WholeAnswer | Failure | None:
-        """Return an answer that goes back, or None to try another engine."""
-        engine, answer = attempt.engine, attempt.answer
-        if attempt.is_held:
-            return None
-        if answer is None:
-            engine.note_failure(clock.monotonic())
-            tries.details.append(attempt.detail)
-            is_over = attempt.may_have_run and not route.may_repeat
-            return Failure(ErrorKind.OUTCOME_UNKNOWN) if is_over else None
-        if engine_format.is_not_run(answer.status, answer.headers):
-            self._note_full(engine, answer, route)
-            tries.refused.add(engine.identifier)
-            tries.details.append(f"{engine.identifier}:refused({answer.status})")
-            return None
-        is_success = 200 <= answer.status < 300
-        if is_success and engine_format.signature(answer.headers) is None:
-            tries.details.append(f"{engine.identifier}:unsigned")
-            return None if route.may_repeat else Failure(ErrorKind.OUTCOME_UNKNOWN)
-        engine.note_success()
-        self._note_in_time(engine, attempt.seconds, route)
-        if answer.status >= 500 and route.may_repeat:
-            tries.last_failure = answer
-            tries.details.append(f"{engine.identifier}:failed({answer.status})")
-            return None
-        return answer
+            detail = f"{engine.identifier}:{how}({error})"
+            await ended.put(EndedAttempt(engine, AttemptEnd.BROKEN, detail=detail))
 
-    def _note_in_time(self, engine: Engine, seconds: float, route: RouteRow) -> None:
-        """Take how long an answer took, for its engine's limit and for its row's pace."""
-        now = clock.monotonic()
-        self._row_times.setdefault(route.name, SmoothedTime()).note(seconds, now)
-        running = engine.running + 1
-        engine.limit.note_answer(running, engine.entry.slots, seconds, route.objective_seconds, now)
-
-    def _note_full(self, engine: Engine, answer: WholeAnswer, route: RouteRow) -> None:
-        """Take a refusal; one that says that the engine is another start tells nothing of room."""
-        now = clock.monotonic()
-        engine.note_refusal(now)
-        if answer.status != engine_format.MISDIRECTED:
-            engine.limit.note_late(engine.running + 1, route.objective_seconds, now)
-
-    def _exhausted(self, race: Race, queue: LiveQueue) -> WholeAnswer | Failure:
-        tries = race.tries
-        if tries.last_failure is not None:
-            return tries.last_failure
-        if tries.ran is not Ran.NO:
-            return Failure(ErrorKind.ENGINE_FAILED)
-        left = race.request.deadline - clock.monotonic()
-        pause = queue.return_seconds(left, self._pace(race.route, race.service))
-        return Failure(ErrorKind.NO_ENGINE, retry_after_seconds=pause)
-
-    def _late(self, route: RouteRow, tries: Tries) -> WholeAnswer | Failure:
-        now = clock.monotonic()
-        for name in tries.engines:
-            engine = self._engines.engines.get(name)
-            if engine is not None and tries.running:
-                engine.limit.note_late(engine.running, route.objective_seconds, now)
-        if tries.ran is Ran.NO:
-            return Failure(ErrorKind.EXPIRED_IN_QUEUE)
-        return Failure(ErrorKind.DEADLINE_EXCEEDED)
-
-    async def _attempt(
-        self, engine: Engine, request: ForwardedRequest, tries: Tries
+    async def _send(
+        self, engine: Engine, request: ForwardedRequest, attempts: RequestAttempts
     ) -> WholeAnswer:
+        """Return an engine's answer; raises `HeldBackError`, `NotSentError`, `BrokenError`."""
         engine.running += 1
         self._metrics.attempts += 1
         began = clock.monotonic()
-        is_answered = is_silent = False
+        is_answered = is_unanswered = False
         connection: EngineConnection | None = None
         try:
-            await self.prepare(engine, request)
+            await self._sender.prepare(engine.identifier, request.deadline)
             began = clock.monotonic()
-            connection = await self._pool.take_to_send(
-                engine.identifier, engine.entry.address, self._gate
+            connection = await self._sender.take(
+                engine.identifier, engine.entry.address, request.content, request.deadline
             )
-            # Other runs of the same content may have ended their engines while this one waited for
-            # a connection: each send after the last end that is allowed costs an engine.
-            if self.suspects.is_held(request.content):
-                await self._pool.give_back_unused(connection)
-                connection = None
-                raise HeldBackError(Held.ENDS_ENGINES)
-            if clock.monotonic() >= request.deadline:
-                await self._pool.give_back_unused(connection)
-                connection = None
-                raise HeldBackError(Held.LATE)
-            tries.sent += 1
             request.beginning.sent(clock.monotonic())
-            is_silent = True
-            head = await self._send(connection, engine, request)
-            is_silent = False
-            self.note_heard(engine)
+            is_unanswered = True
+            head = await self._sender.send(connection, engine.identifier, request, attempts)
+            is_unanswered = False
+            self.zones.note_heard(engine)
             body = b"".join([piece async for piece in connection.read_body()])
             if engine_format.is_not_run(head.status, head.headers):
-                tries.sent -= 1
+                attempts.sent -= 1
                 request.beginning.refused()
             else:
                 await self.suspects.note_answer(request.content)
@@ -422,70 +272,102 @@
             connection = None
             return WholeAnswer(engine.identifier, head.status, head.headers, body)
         finally:
-            self._note_time(engine, began, is_answered)
-            if is_silent and clock.monotonic() >= began + SILENT_ANSWER_SECONDS:
-                self._note_silent(engine)
+            now = clock.monotonic()
+            self._times.note_attempt(engine, now - began, is_answered, now)
+            if is_unanswered:
+                self.zones.note_unanswered(engine, began)
             engine.end_work()
             if connection is not None:
                 await connection.close()
             await self._lines.call(engine.entry.service)
 
-    def note_unreachable(self, engine: Engine, error: NotSentError) -> None:
-        """Take that an engine could not be connected to: others of its zone may be cut off too."""
-        if isinstance(error, SilentEngineError):
-            self._note_silent(engine)
-
-    def _note_silent(self, engine: Engine) -> None:
-        zone, now = engine.entry.zone, clock.monotonic()
-        if self._silent_zones.note_silent(zone, engine.identifier, now):
-            logs.decision("zone_silent", zone=zone, engine=engine.identifier)
+    def _judge(
+        self, ended: EndedAttempt, route: RouteRow, attempts: RequestAttempts
+    ) -> WholeAnswer | Failure | None:
+        """Return an answer that goes back, or None where another engine may get it."""
+        verdict = judge(ended.end, route.may_repeat)
+        self._note_end(ended, route, attempts)
+        if verdict.step is NextStep.ANSWER:
+            return ended.answer
+        if ended.end is AttemptEnd.FAILED and ended.answer is not None:
+            attempts.last_failure = ended.answer
+            attempts.details.append(f"{ended.engine.identifier}:failed({ended.answer.status})")
+        return Failure(verdict.error) if verdict.error is not None else None
+
+    def _note_end(self, ended: EndedAttempt, route: RouteRow, attempts: RequestAttempts) -> None:
+        """Take for the engine, and for the log line, how an attempt ended."""
+        engine, now = ended.engine, clock.monotonic()
+        if ended.end is AttemptEnd.HELD_BACK:
+            return
+        if ended.answer is None:
+            engine.note_failure(now)
+            attempts.details.append(ended.detail)
+        elif ended.end is AttemptEnd.REFUSED:
+            self._note_full(engine, ended.answer, route)
+            attempts.refused.add(engine.identifier)
+            attempts.details.append(f"{engine.identifier}:refused({ended.answer.status})")
+        elif ended.end is AttemptEnd.UNSIGNED:
+            attempts.details.append(f"{engine.identifier}:unsigned")
+        else:
+            engine.note_success()
+            self._times.note_answer(engine, route, ended.seconds, now)
 
-    def note_heard(self, engine: Engine) -> None:
-        """Take that an engine answered: its zone can be reached."""
-        if self._silent_zones.note_heard(engine.entry.zone):
-            logs.decision("zone_heard", zone=engine.entry.zone, engine=engine.identifier)
+    def _note_full(self, engine: Engine, answer: WholeAnswer, route: RouteRow) -> None:
+        """Take a refusal; one that says that the engine is another start tells nothing of room."""
+        now = clock.monotonic()
+        engine.note_refusal(now)
+        if answer.status != engine_format.MISDIRECTED:
+            engine.limit.note_late(engine.running + 1, route.objective_seconds, now)
 
-    async def prepare(self, engine: Engine, request: ForwardedRequest) -> None:
-        """Wait for what an engine's gate will ask for, before a connection is held."""
-        if self._cold is not None:
-            await self._cold.prepare(engine.identifier, request.deadline)
+    def _exhausted(self, whole: WholeRequest, queue: LiveQueue) -> WholeAnswer | Failure:
+        """Return what a request is answered that no engine is left for."""
+        attempts = whole.attempts
+        if attempts.last_failure is not None:
+            return attempts.last_failure
+        kind = error_without_engines(attempts.ran)
+        if attempts.ran is not Ran.NO:
+            return Failure(kind)
+        now = clock.monotonic()
+        pace = self._times.pace(whole.route, whole.service, now)
+        pause = queue.return_seconds(whole.request.deadline - now, pace)
+        return Failure(kind, retry_after_seconds=pause)
 
-    def _note_time(self, engine: Engine, began: float, is_answered: bool) -> None:
-        """Learn how fast an engine is; one that was left tells only that it took so long."""
+    def _late(self, route: RouteRow, attempts: RequestAttempts) -> Failure:
+        """Return what a request is answered whose deadline passed."""
         now = clock.monotonic()
-        seconds = now - began
-        if is_answered or seconds > engine.answer_seconds > 0:
-            engine.note_answer(seconds, now)
-        if is_answered or seconds > self.usual_seconds(engine.entry.service):
-            self._times[engine.entry.service].note(seconds)
+        for name in attempts.engines:
+            engine = self._engines.engines.get(name)
+            if engine is not None and attempts.running:
+                engine.limit.note_late(engine.running, route.objective_seconds, now)
+        return Failure(error_without_time(attempts.ran))
 
-    async def _send(
-        self, connection: EngineConnection, engine: Engine, request: ForwardedRequest
-    ) -> AnswerHead:
-        seconds_left = request.deadline - clock.monotonic()
-        headers = engine_format.forwarded_headers(request.headers, engine.identifier, seconds_left)
-        await connection.send_plain(request.method, request.target, request.body, headers)
-        return await connection.read_answer(request.identifier)
-
-    def _log(self, race: Race, answer: WholeAnswer | Failure) -> None:
-        request, tries = race.request, race.tries
+    def _log(self, whole: WholeRequest, answer: WholeAnswer | Failure) -> None:
+        request, attempts = whole.request, whole.attempts
         is_failure = isinstance(answer, Failure)
         outcome = answer.kind.value if isinstance(answer, Failure) else str(answer.status)
         logs.decision(
             "request_failed" if is_failure else "request_answered",
             request=request.identifier,
             content=request.content[:DIGEST_SHOWN],
-            route=race.route.name,
-            service=race.service,
+            route=whole.route.name,
+            service=whole.service,
             engines_revision=self._engines.revision,
             engine="" if isinstance(answer, Failure) else answer.engine,
-            tried=";".join(tries.details),
+            tried=";".join(attempts.details),
             left=request.deadline - clock.monotonic(),
             outcome=outcome,
-            ran=tries.ran.value,
+            ran=attempts.ran.value,
         )
 
 
+def _facts(answer: WholeAnswer) -> AnswerFacts:
+    return AnswerFacts(
+        status=answer.status,
+        is_not_run=engine_format.is_not_run(answer.status, answer.headers),
+        is_signed=engine_format.signature(answer.headers) is not None,
+    )
+
+
 def is_streamed(route: RouteRow) -> bool:
     """Return whether a route's answers are streams of events."""
     return route.kind is RequestKind.STREAM
--- a/src/pondtiller/gateway/callers/front.py
+++ b/src/pondtiller/gateway/callers/front.py
@@ -7,11 +7,11 @@
 from result import Err, Ok, Result
 
 from pondtiller.errors import ErrorKind, Failure, Ran
+from pondtiller.gateway.callers.attempts import WholeAnswer
 from pondtiller.gateway.callers.forward import Forwarder, is_streamed
-from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.request import ForwardedRequest
 from pondtiller.gateway.callers.streams import StreamForwarder
 from pondtiller.gateway.callers.tenant_rates import TenantRates
-from pondtiller.gateway.callers.tries import WholeAnswer
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.hashing import DIGEST_SHOWN, content_digest
 from pondtiller.httpio.messages import HttpRequest, HttpResponse
--- a/src/pondtiller/gateway/callers/race.py
+++ b/src/pondtiller/gateway/callers/request.py
@@ -1,11 +1,15 @@
-"""A caller's request on its way: what is sent on, and its attempts at one or two engines."""
+"""A caller's request on its way: what is sent on, and its attempts at one or two engines.
+
+Owns what lasts as long as one request. A request is what the caller sent; an attempt, in
+`attempts`, is one sending of it to one engine.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 import curio
 
-from pondtiller.gateway.callers.tries import Tries
+from pondtiller.gateway.callers.attempts import RequestAttempts
 from pondtiller.platform.engine_format import Headers
 from pondtiller.process.spawner import Spawner
 from pondtiller.routes.table import RouteRow
@@ -38,24 +42,24 @@
 
 
 @dataclass(eq=False)
-class Race:
-    """One request's attempts, of which the first good answer counts.
+class WholeRequest:
+    """A request that is answered whole, with its attempts: the first good answer counts.
 
     Attributes
     ----------
     service
         Whose engines may get it.
-    tries
-        What was tried so far.
-    ended
-        Queue of the attempts that have ended.
     attempts
-        Those that go on.
+        What was attempted so far.
+    ended
+        A `curio.Queue` of `EndedAttempt`.
+    tasks
+        The attempts that go on.
     """
 
     request: ForwardedRequest
     route: RouteRow
     service: str
-    tries: Tries = field(default_factory=Tries)
+    attempts: RequestAttempts = field(default_factory=RequestAttempts)
     ended: Any = field(default_factory=curio.Queue)
-    attempts: Spawner = field(default_factory=Spawner)
+    tasks: Spawner = field(default_factory=Spawner)
--- a/src/pondtiller/gateway/callers/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -1,11 +1,24 @@
-"""Streams of events from an engine to a caller, continued on another engine where allowed."""
+"""Streams of events from an engine to a caller, continued on another engine where allowed.
+
+Owns a stream on its way: what the caller has of it, and its attempts. An attempt leaves as all
+others do (`sending`), the engine is chosen as for whole requests (`routes.engine_choice`), and what
+an attempt's end means is `routes.live_attempts.judge_stream`.
+
+A stream differs from a whole request in that it has one attempt at a time, waits in no line and for
+no room (its caller reads the first event as soon as there is one, and an engine's own queue is as
+good a place), and counts each engine that it was sent to or could not reach.
+"""
+
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import curio
 
 from pondtiller.errors import ErrorKind, Failure
+from pondtiller.gateway.callers.attempts import RequestAttempts
 from pondtiller.gateway.callers.forward import Forwarder
-from pondtiller.gateway.callers.race import ForwardedRequest
-from pondtiller.gateway.callers.tries import Tries
+from pondtiller.gateway.callers.request import ForwardedRequest
+from pondtiller.gateway.callers.sending import EngineSender
 from pondtiller.gateway.engines.engine_pool import (
     AnswerHead,
     EngineConnection,
@@ -20,17 +33,58 @@
 from pondtiller.platform.engine_format import EventReader
 from pondtiller.process import clock, logs
 from pondtiller.routes.engines import Engine
-from pondtiller.routes.send_gate import SendGate
+from pondtiller.routes.live_attempts import (
+    AttemptEnd,
+    NextStep,
+    Verdict,
+    error_without_engines,
+    judge_stream,
+)
+from pondtiller.routes.send_gate import Held, SendGate
 from pondtiller.routes.table import RouteRow
 
+HELD_AFTER_CHOICE = (Held.ENDS_ENGINES, Held.LATE)
+"""What holds a request back from all engines: the one that was chosen is not to be passed over."""
+
+
+@dataclass(eq=False)
+class Stream:
+    """One stream on its way.
+
+    Attributes
+    ----------
+    service
+        Whose engines may get it.
+    is_begun
+        Whether the caller has a part of it.
+    last_event
+        Number of the last event that came; 0 before the first.
+    """
+
+    exchange: Exchange
+    request: ForwardedRequest
+    route: RouteRow
+    service: str
+    is_begun: bool = False
+    last_event: int = 0
+    attempts: RequestAttempts = field(default_factory=RequestAttempts)
+
 
-class StreamState:
-    """What the caller has of one stream."""
+class StreamStep(NamedTuple):
+    """What comes after an attempt.
 
-    def __init__(self) -> None:
-        self.is_begun = False
-        self.last_event = 0
-        self.tries = Tries()
+    Attributes
+    ----------
+    failure
+        What the caller is answered; None unless the stream is given up.
+    """
+
+    step: NextStep
+    failure: Failure | None = None
+
+
+def _step(verdict: Verdict) -> StreamStep:
+    return StreamStep(verdict.step, Failure(verdict.error) if verdict.error is not None else None)
 
 
 class StreamForwarder:
@@ -39,160 +93,132 @@
     def __init__(self, forwarder: Forwarder, pool: EnginePool, gate: SendGate) -> None:
         self._forwarder = forwarder
         self._pool = pool
-        self._gate = gate
+        self._sender = EngineSender(pool, gate, forwarder.suspects, forwarder.cold)
 
     async def forward(self, exchange: Exchange, request: ForwardedRequest, route: RouteRow) -> None:
         """Answer a request with a stream; the caller's leaving ends the engine's work."""
-        state = StreamState()
+        stream = Stream(exchange, request, route, route.choose_service(request.identifier))
         async with curio.TaskGroup(wait=any) as group:
-            await group.spawn(self._run, exchange, request, route, state)
+            await group.spawn(self._run, stream)
             await group.spawn(exchange.wait_closed)
         logs.decision(
             "stream_ended",
             request=request.identifier,
             content=request.content[:DIGEST_SHOWN],
             route=route.name,
-            last_event=state.last_event,
-            tried=";".join(state.tries.details),
+            last_event=stream.last_event,
+            tried=";".join(stream.attempts.details),
         )
 
-    async def _run(
-        self, exchange: Exchange, request: ForwardedRequest, route: RouteRow, state: StreamState
-    ) -> None:
-        service = route.choose_service(request.identifier)
-        while True:
-            failure = await self._next_try(exchange, request, route, service, state)
-            if failure is None:
-                return
-            is_over = failure is not RETRY
-            if is_over and not state.is_begun:
-                await exchange.respond(failure_response(failure))
-                return
-            if is_over:
-                # The caller must not take what it has for the whole.
-                raise ConnectionLostError("the stream could not be continued")
-
-    async def _next_try(
-        self,
-        exchange: Exchange,
-        request: ForwardedRequest,
-        route: RouteRow,
-        service: str,
-        state: StreamState,
-    ) -> Failure | None:
-        tries = state.tries
-        if self._forwarder.suspects.is_held(request.content):
-            return self._forwarder.suspects.refuse(request.content, tries.ran)
-        engine = self._forwarder.choose(service, tries.passed_over, route.homes)
-        if engine is None or len(tries.engines) >= route.attempts:
-            return Failure(
-                ErrorKind.ENGINE_FAILED if tries.ran.value != "no" else ErrorKind.NO_ENGINE
-            )
-        if clock.monotonic() >= request.deadline:
-            return Failure(ErrorKind.DEADLINE_EXCEEDED)
-        tries.engines.add(engine.identifier)
+    async def _run(self, stream: Stream) -> None:
+        step, failure = NextStep.OTHER_ENGINE, None
+        while step is NextStep.OTHER_ENGINE:
+            step, failure = await self._next_attempt(stream)
+        if failure is None:
+            return
+        if stream.is_begun:
+            # The caller must not take what it has for the whole.
+            raise ConnectionLostError("the stream could not be continued")
+        await stream.exchange.respond(failure_response(failure))
+
+    async def _next_attempt(self, stream: Stream) -> StreamStep:
+        """Make one attempt, where the stream may still have one."""
+        request, route, attempts = stream.request, stream.route, stream.attempts
+        suspects = self._forwarder.suspects
+        if suspects.is_held(request.content):
+            return StreamStep(NextStep.GIVE_UP, suspects.refuse(request.content, attempts.ran))
+        now = clock.monotonic()
+        choice = self._forwarder.choice
+        engine = choice.choose(stream.service, attempts.passed_over, route.homes, now)
+        if engine is None or len(attempts.engines) >= route.attempts:
+            return StreamStep(NextStep.GIVE_UP, Failure(error_without_engines(attempts.ran)))
+        if now >= request.deadline:
+            # Also where nothing ran: a stream's deadline is not known as one of a line.
+            return StreamStep(NextStep.GIVE_UP, Failure(ErrorKind.DEADLINE_EXCEEDED))
+        attempts.engines.add(engine.identifier)
+        return await self._attempt(stream, engine)
+
+    async def _attempt(self, stream: Stream, engine: Engine) -> StreamStep:
+        request, attempts = stream.request, stream.attempts
         engine.running += 1
         connection: EngineConnection | None = None
         try:
-            await self._forwarder.prepare(engine, request)
-            connection = await self._pool.take_to_send(
-                engine.identifier, engine.entry.address, self._gate
+            await self._sender.prepare(engine.identifier, request.deadline)
+            connection = await self._sender.take(
+                engine.identifier, engine.entry.address, request.content, request.deadline
             )
-            is_late = clock.monotonic() >= request.deadline
-            if is_late or self._forwarder.suspects.is_held(request.content):
-                return RETRY
-            return await self._pass_on(exchange, request, route, engine, connection, state)
+            return await self._pass_on(stream, engine, connection)
         except HeldBackError as error:
-            tries.hold_back(engine, error.reason)
-            return RETRY
+            if error.reason not in HELD_AFTER_CHOICE:
+                attempts.hold_back(engine, error.reason)
+            return self._judge(stream, AttemptEnd.HELD_BACK)
         except NotSentError as error:
-            self._forwarder.note_unreachable(engine, error)
+            self._forwarder.zones.note_unreachable(engine, error)
             engine.note_failure(clock.monotonic())
-            tries.details.append(f"{engine.identifier}:unreachable")
-            return RETRY
+            attempts.details.append(f"{engine.identifier}:unreachable")
+            return self._judge(stream, AttemptEnd.UNREACHABLE)
         except BrokenError as error:
             engine.note_failure(clock.monotonic())
             has_ended = await self._forwarder.ends.confirm(
                 engine.identifier, engine.entry.address, request.identifier, request.content
             )
             how = "ended" if has_ended else "broken"
-            tries.details.append(f"{engine.identifier}:{how}({error})")
-            return RETRY if route.may_resume else Failure(ErrorKind.OUTCOME_UNKNOWN)
+            attempts.details.append(f"{engine.identifier}:{how}({error})")
+            return self._judge(stream, AttemptEnd.BROKEN)
         finally:
             engine.end_work()
             if connection is not None:
                 await self._pool.give_back(connection)
 
+    def _judge(self, stream: Stream, end: AttemptEnd) -> StreamStep:
+        return _step(judge_stream(end, stream.route.may_resume, stream.is_begun))
+
     async def _pass_on(
-        self,
-        exchange: Exchange,
-        request: ForwardedRequest,
-        route: RouteRow,
-        engine: Engine,
-        connection: EngineConnection,
-        state: StreamState,
-    ) -> Failure | None:
-        left = request.deadline - clock.monotonic()
-        headers = engine_format.forwarded_headers(request.headers, engine.identifier, left)
-        if state.last_event:
-            headers = engine_format.continued(headers, state.last_event)
-        # Counted first: a connection that breaks meanwhile may have brought a part to the engine.
-        state.tries.sent += 1
-        await connection.send_plain(request.method, request.target, request.body, headers)
-        head = await connection.read_answer(request.identifier)
-        self._forwarder.note_heard(engine)
+        self, stream: Stream, engine: Engine, connection: EngineConnection
+    ) -> StreamStep:
+        request, exchange = stream.request, stream.exchange
+        head = await self._sender.send(
+            connection, engine.identifier, request, stream.attempts, stream.last_event
+        )
+        self._forwarder.zones.note_heard(engine)
         if not 200 <= head.status < 300:
-            return await self._refused(exchange, request, connection, head, route, state)
-        if not state.is_begun:
-            state.is_begun = True
+            return await self._refused(stream, connection, head)
+        if not stream.is_begun:
+            stream.is_begun = True
             await exchange.start_response(head.status, engine_format.returned_headers(head.headers))
-        await self._pass_events(exchange, request, connection, state)
+        await self._pass_events(stream, connection)
         await self._forwarder.suspects.note_answer(request.content)
         await exchange.end_stream()
-        return None
+        return StreamStep(NextStep.ANSWER)
 
     async def _refused(
-        self,
-        exchange: Exchange,
-        request: ForwardedRequest,
-        connection: EngineConnection,
-        head: AnswerHead,
-        route: RouteRow,
-        state: StreamState,
-    ) -> Failure | None:
+        self, stream: Stream, connection: EngineConnection, head: AnswerHead
+    ) -> StreamStep:
+        """Take an answer that is no stream; it goes back where no other engine may help."""
         body = b"".join([piece async for piece in connection.read_body()])
-        state.tries.details.append(f"{connection.engine}:status({head.status})")
+        stream.attempts.details.append(f"{connection.engine}:status({head.status})")
         if engine_format.is_not_run(head.status, head.headers):
-            state.tries.sent -= 1
-            return RETRY
-        await self._forwarder.suspects.note_answer(request.content)
-        if route.may_resume or state.is_begun:
-            return RETRY if route.may_resume else Failure(ErrorKind.ENGINE_FAILED)
-        headers = engine_format.returned_headers(head.headers)
-        await exchange.respond(HttpResponse(head.status, body, "", headers))
-        return None
-
-    async def _pass_events(
-        self,
-        exchange: Exchange,
-        request: ForwardedRequest,
-        connection: EngineConnection,
-        state: StreamState,
-    ) -> None:
+            stream.attempts.sent -= 1
+            return self._judge(stream, AttemptEnd.REFUSED)
+        await self._forwarder.suspects.note_answer(stream.request.content)
+        step = self._judge(stream, AttemptEnd.FAILED)
+        if step.step is NextStep.ANSWER:
+            headers = engine_format.returned_headers(head.headers)
+            await stream.exchange.respond(HttpResponse(head.status, body, "", headers))
+        return step
+
+    async def _pass_events(self, stream: Stream, connection: EngineConnection) -> None:
         """Pass whole events on; a part of one is held until the rest has come."""
         reader = EventReader()
         held = b""
         async for piece in connection.read_body():
             held += piece
             for event in reader.feed(piece):
-                request.beginning.first_token(clock.monotonic())
-                state.last_event = max(state.last_event, event.number)
+                stream.request.beginning.first_token(clock.monotonic())
+                stream.last_event = max(stream.last_event, event.number)
             whole, separator, rest = held.rpartition(b"\n\n")
             if separator:
                 held = rest
-                await exchange.send_piece(whole + separator)
+                await stream.exchange.send_piece(whole + separator)
         if held:
             raise BrokenError("the stream ended within an event")
-
-
-RETRY = Failure(ErrorKind.INTERNAL, "try another engine")
--- a/src/pondtiller/gateway/callers/tenant_rates.py
+++ b/src/pondtiller/gateway/callers/tenant_rates.py
@@ -1,6 +1,5 @@
 """Holds tenants to their rates: a request of a tenant that has one leaves a share of it first."""
 
-import math
 from collections.abc import Callable
 
 from pondtiller.coordination.rate_shares import HeldRate, RateTerms
@@ -9,6 +8,7 @@
 from pondtiller.peers.share_asker import ShareAsker
 from pondtiller.process import clock, logs
 from pondtiller.routes.rates import rate_terms, subject_of
+from pondtiller.routes.retry_after import after_rate
 from pondtiller.routes.table import RouteTable
 from pondtiller.routes.tenants import TenantRow
 
@@ -16,8 +16,9 @@
 """Longest wait for a share: a leader in another region answers within 0.05 s, and a request that is
 refused in the end should not have been held for long."""
 PART_OF_DEADLINE = 0.25
-SHORTEST_PAUSE_SECONDS = 0.05
-"""Least time after which a refused caller may come back."""
+"""Part of a request's time that it may wait for a share, where that is less than `WAIT_SECONDS`.
+Chosen, not measured: binds only requests due within 1 s, and leaves them most of their time to be
+served, or to come back."""
 
 
 class TenantRates:
@@ -94,6 +95,4 @@
 
     def _pause(self, held: HeldRate, now: float) -> float:
         """Return when to come back: when a place of this daemon's share is free, else a window."""
-        free_at = held.free_at(now)
-        pause = free_at - now if free_at < math.inf else held.terms.window_seconds
-        return max(SHORTEST_PAUSE_SECONDS, pause)
+        return after_rate(held.free_at(now), held.terms.window_seconds, now)
--- a/src/pondtiller/gateway/callers/waiting.py
+++ b/src/pondtiller/gateway/callers/waiting.py
@@ -7,11 +7,7 @@
 import curio
 
 from pondtiller.process import clock
-from pondtiller.routes.engines import REFUSAL_PAUSE_SECONDS
-from pondtiller.routes.live_queue import LiveQueue, Ticket
-
-LOOK_AGAIN_SECONDS = REFUSAL_PAUSE_SECONDS
-"""How often the first of those that wait tries the engines again, besides each answer."""
+from pondtiller.routes.live_queue import LOOK_AGAIN_SECONDS, LiveQueue, Ticket
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/gateway/engines/suspects.py
+++ b/src/pondtiller/gateway/engines/suspects.py
@@ -2,10 +2,11 @@
 
 import curio
 
-from pondtiller.errors import ErrorKind, Failure, Ran
+from pondtiller.errors import Failure, Ran
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.process import clock, logs
+from pondtiller.routes.live_attempts import error_of_held_content
 from pondtiller.routes.quarantine import Quarantine, Suspect
 
 TELL_SECONDS = 0.3
@@ -53,10 +54,11 @@
             Whether an engine may have begun it before.
         """
         self._metrics.held_contents += 1
+        kind = error_of_held_content(ran)
         if ran is not Ran.NO:
-            return Failure(ErrorKind.ENGINE_FAILED)
+            return Failure(kind)
         left = self.quarantine.seconds_left(content, clock.wall())
-        return Failure(ErrorKind.ENDS_ENGINES, retry_after_seconds=left)
+        return Failure(kind, retry_after_seconds=left)
 
     async def note_end(self, content: str, engine: str) -> None:
         """Take that an engine ended under a content."""
--- a/src/pondtiller/gateway/runs/sample_runner.py
+++ b/src/pondtiller/gateway/runs/sample_runner.py
@@ -8,7 +8,8 @@
 from pondtiller.address import Address
 from pondtiller.errors import Failure
 from pondtiller.gateway.callers.forward import Forwarder
-from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.request import ForwardedRequest
+from pondtiller.gateway.callers.sending import EngineSender
 from pondtiller.gateway.engines.cold_sends import ColdSends
 from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, HeldBackError
 from pondtiller.hashing import content_digest
@@ -129,6 +130,7 @@
         self._gate = gate
         self._cold = cold
         self._pool = pool
+        self._sender = EngineSender(pool, gate, forwarder.suspects, cold)
         self._forwarder = forwarder
         self._find_table = find_table
 
@@ -141,9 +143,8 @@
         suspects = self._forwarder.suspects
         await self._prepare(order)
         try:
-            connection = await self._pool.take_to_send(order.engine, order.address, self._gate)
-            if suspects.is_held(content):
-                raise HeldBackError(Held.ENDS_ENGINES)
+            # The leader watches a run's time: no deadline holds it back here.
+            connection = await self._sender.take(order.engine, order.address, content, math.inf)
             outcome = await self._stream(order, connection, take)
             if outcome.end in ANSWERED_ENDS:
                 await suspects.note_answer(content)
@@ -163,11 +164,9 @@
                 await connection.close()
 
     async def _prepare(self, order: RunOrder) -> None:
-        if self._cold is None:
-            return
-        if order.is_cold:
+        if self._cold is not None and order.is_cold:
             self._cold.told(order.engine)
-        await self._cold.prepare(order.engine, math.inf)
+        await self._sender.prepare(order.engine, math.inf)
 
     async def _stream(
         self, order: RunOrder, connection: EngineConnection, take: EventSink
--- a/src/pondtiller/gateway/tests/test_distances.py
+++ b/src/pondtiller/gateway/tests/test_distances.py
@@ -8,10 +8,10 @@
 
 from pondtiller.address import Address
 from pondtiller.errors import Failure
-from pondtiller.gateway.callers import forward
+from pondtiller.gateway.callers.attempts import WholeAnswer
 from pondtiller.gateway.callers.forward import Forwarder
-from pondtiller.gateway.callers.race import ForwardedRequest
-from pondtiller.gateway.callers.tries import WholeAnswer
+from pondtiller.gateway.callers.request import ForwardedRequest
+from pondtiller.gateway.engines import zone_reach
 from pondtiller.gateway.engines.engine_pool import EnginePool, SilentEngineError
 from pondtiller.gateway.leader.leadership import (
     NO_QUORUM_IN_REGION_SECONDS,
@@ -51,22 +51,25 @@
         pool.take = self._take  # type: ignore[method-assign,assignment]
         gate = SendGate(self.engines)
         self.forwarder = Forwarder(own, self.engines, pool, GatewayMetrics(), gate)
-        self.forwarder._attempt = self._attempt  # type: ignore[method-assign]
+        self.forwarder._send = self._send  # type: ignore[method-assign]
 
     def chosen(self) -> set[str]:
         """Return the zones of engines that are chosen in many choices."""
-        found = [self.forwarder.choose("app", set()) for _ in range(60)]
+        found = [
+            self.forwarder.choice.choose("app", set(), frozenset(), clock.monotonic())
+            for _ in range(60)
+        ]
         return {each.entry.zone for each in found if each is not None}
 
     async def _take(self, _engine: str, _address: Address) -> object:
         raise SilentEngineError("connection timed out")
 
-    async def _attempt(self, engine: object, _request: object, _tries: object) -> WholeAnswer:
+    async def _send(self, engine: object, _request: object, _attempts: object) -> WholeAnswer:
         zone = engine.entry.zone  # type: ignore[attr-defined]
         self.tried.append(zone)
         if zone in self.cut:
             raise SilentEngineError("connection timed out")
-        self.forwarder.note_heard(engine)  # type: ignore[arg-type]
+        self.forwarder.zones.note_heard(engine)  # type: ignore[arg-type]
         headers = (("x-sig", "1"),)
         return WholeAnswer(engine.identifier, 404, headers, b"")  # type: ignore[attr-defined]
 
@@ -221,7 +224,7 @@
 def test_kept_connections_that_say_nothing_tell_of_a_cut_as_new_ones_do(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(forward, "SILENT_ANSWER_SECONDS", 0.05)
+    monkeypatch.setattr(zone_reach, "SILENT_ANSWER_SECONDS", 0.05)
     engines = Fleet("s2", "s2", "s2", "n1").engines
     pool = EnginePool()
     asked: set[str] = set()
@@ -239,7 +242,7 @@
         assert isinstance(await forwarder.whole(request, route), Failure)
 
     def chosen() -> str:
-        engine = forwarder.choose("app", set())
+        engine = forwarder.choice.choose("app", set(), frozenset(), clock.monotonic())
         return engine.entry.zone if engine is not None else ""
 
     while len(asked) < 2:
--- a/src/pondtiller/gateway/tests/test_live_load.py
+++ b/src/pondtiller/gateway/tests/test_live_load.py
@@ -8,9 +8,9 @@
 
 from pondtiller.address import Address
 from pondtiller.errors import ErrorKind, Failure
+from pondtiller.gateway.callers.attempts import WholeAnswer
 from pondtiller.gateway.callers.forward import Forwarder
-from pondtiller.gateway.callers.race import ForwardedRequest
-from pondtiller.gateway.callers.tries import WholeAnswer
+from pondtiller.gateway.callers.request import ForwardedRequest
 from pondtiller.gateway.engines.engine_pool import AnswerHead, EnginePool
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.httpio.client import NotSentError
@@ -100,7 +100,7 @@
         pool.give_back = self._give_back  # type: ignore[method-assign,assignment]
         gate = SendGate(self.engines)
         self.forwarder = Forwarder("z", self.engines, pool, GatewayMetrics(), gate)
-        self.forwarder._random = random.Random(3)
+        self.forwarder.choice.rng = random.Random(3)
 
     async def _take(self, engine: str, _address: Address) -> FakeConnection:
         if not self.fakes[engine].is_up:
--- a/src/pondtiller/gateway/tests/test_live_streams.py
+++ b/src/pondtiller/gateway/tests/test_live_streams.py
@@ -8,7 +8,7 @@
 from pondtiller.address import Address
 from pondtiller.errors import ErrorKind
 from pondtiller.gateway.callers.forward import Forwarder
-from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.request import ForwardedRequest
 from pondtiller.gateway.callers.streams import StreamForwarder
 from pondtiller.gateway.engines.engine_pool import EnginePool
 from pondtiller.gateway.metrics import GatewayMetrics
--- a/src/pondtiller/gateway/tests/test_suspended.py
+++ b/src/pondtiller/gateway/tests/test_suspended.py
@@ -16,7 +16,7 @@
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.gateway.callers.forward import Forwarder
 from pondtiller.gateway.callers.key_freshness import KeyFreshness
-from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.request import ForwardedRequest
 from pondtiller.gateway.engines.engine_pool import EnginePool
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.gateway.tests.system import System, run_system
--- a/src/pondtiller/routes/live_queue.py
+++ b/src/pondtiller/routes/live_queue.py
@@ -2,7 +2,7 @@
 
 Load: more requests than the engines of a service may get now, since they are full, slow, or gone
 for a second or two. Sent on at once, requests are refused one after the other by the same engines;
-a caller then has spent its few tries within milliseconds, with most of its time left.
+a caller then has spent its few attempts within milliseconds, with most of its time left.
 
 - A request that no engine may get waits, the most urgent first: by its row's priority, then by its
   deadline, then in order of arrival. A request that came back has an earlier deadline than one that
@@ -21,17 +21,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from pondtiller.routes.engines import Engine
+from pondtiller.routes.engines import REFUSAL_PAUSE_SECONDS, Engine
+from pondtiller.routes.retry_after import after_no_engine
 
 HOLD_SHARE = 0.4
 """Part of a request's time that it may wait here. Load: engines gone for a second. Under a half, so
 that a caller has more time left after a refusal than it has lost, and can come back."""
-LATEST_RETURN_SHARE = 1 / 3
-"""Part of the time left after which a return is useful: as long again to wait, and to be served."""
-SHORTEST_RETURN_SECONDS = 0.05
-"""A return within less meets the same queue: engines that refused are passed over for as long."""
-RETURN_SPREAD = 0.5
-"""Returns are spread over this part of the time to come back, so that they are not a new burst."""
+LOOK_AGAIN_SECONDS = REFUSAL_PAUSE_SECONDS
+"""How often the first of those that wait looks for an engine again, besides each answer; and how
+often an engine that failed just now is probed before its pause ends, where all of a service did."""
 
 
 @dataclass(order=True, frozen=True, slots=True)
@@ -132,7 +130,7 @@
         return ticket
 
     def enter_again(self, ticket: Ticket) -> None:
-        """Put a request back whose try came to nothing: it waits for no longer than before."""
+        """Put a request back whose attempt came to nothing: it waits for no longer than before."""
         heapq.heappush(self._waiting, ticket)
 
     def leave(self, ticket: Ticket) -> None:
@@ -148,8 +146,5 @@
         left
             Until its deadline.
         """
-        useful = left * LATEST_RETURN_SHARE
-        drained = pace.seconds_to_place(len(self._waiting) + 1)
-        seconds = min(useful, drained) if pace.answer_seconds else useful
-        spread = 1.0 - self._random.random() * RETURN_SPREAD
-        return max(SHORTEST_RETURN_SECONDS, seconds * spread)
+        drained = pace.seconds_to_place(len(self._waiting) + 1) if pace.answer_seconds else None
+        return after_no_engine(left, drained, self._random.random())
--- a/src/pondtiller/routes/tests/test_engines.py
+++ b/src/pondtiller/routes/tests/test_engines.py
@@ -1,13 +1,11 @@
 """What a daemon learns of engines by itself."""
 
+import random
 from dataclasses import replace
 
 from pondtiller.address import Address
-from pondtiller.gateway.callers.forward import Forwarder
-from pondtiller.gateway.engines.engine_pool import EnginePool
-from pondtiller.gateway.metrics import GatewayMetrics
+from pondtiller.routes.engine_choice import EngineChoice
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
-from pondtiller.routes.send_gate import SendGate
 
 
 def directory(count: int) -> EngineDirectory:
@@ -23,13 +21,18 @@
 
 def test_a_slow_engine_is_left_while_others_are_fast_and_tried_again_later() -> None:
     engines = directory(3)
-    forwarder = Forwarder("z", engines, EnginePool(), GatewayMetrics(), SendGate(engines))
+    choice = EngineChoice("z", engines, lambda _engine: False, None, random.Random())
+
+    def chosen_at(now: float) -> str:
+        engine = choice.choose("app", set(), frozenset(), now)
+        return engine.identifier if engine is not None else ""
+
     for name, seconds in (("e0", 0.2), ("e1", 0.03), ("e2", 0.04)):
         engines.engines[name].note_answer(seconds, 10.0)
-    chosen = {forwarder.choose("app", set()).identifier for _ in range(50)}  # type: ignore[union-attr]
+    chosen = {chosen_at(10.0) for _ in range(50)}
     assert chosen == {"e1", "e2"}
     engines.keep_house(14.0)
-    chosen = {forwarder.choose("app", set()).identifier for _ in range(200)}  # type: ignore[union-attr]
+    chosen = {chosen_at(14.0) for _ in range(200)}
     assert chosen == {"e0", "e1", "e2"}
 
 
--- a/src/pondtiller/routes/tests/test_live_queue.py
+++ b/src/pondtiller/routes/tests/test_live_queue.py
@@ -9,14 +9,13 @@
 from pondtiller.routes.engines import Engine, EngineEntry, EngineState
 from pondtiller.routes.live_queue import (
     HOLD_SHARE,
-    LATEST_RETURN_SHARE,
-    RETURN_SPREAD,
     UNKNOWN_PACE,
     LiveQueue,
     Pace,
     may_get,
     pace_of,
 )
+from pondtiller.routes.retry_after import LATEST_RETURN_SHARE, RETURN_SPREAD
 
 UNKNOWN = UNKNOWN_PACE
 
