--- a/src/pondtiller/gateway/engines/engine_pool.py
+++ b/src/pondtiller/gateway/engines/engine_pool.py
@@ -2,6 +2,9 @@
 
 An engine may send an answer late, twice, or for another request. An answer counts only if it
 names the request; a connection with bytes that belong to nobody is closed.
+
+Owns the kept connections of this process. Does not decide whether a request may leave (`SendGate`
+does, asked here once the connection is open), nor retry.
 """
 
 import re
@@ -20,10 +23,29 @@
 from pondtiller.routes.send_gate import Held, SendGate
 
 CONNECT_SECONDS = 0.5
+"""Longest wait for a connection to an engine. Load: an engine or its zone is cut off, so that
+nothing answers. Chosen, not measured: twelve times the way there and back between regions (0.04 s),
+so that a lost packet of the handshake has no second chance but a busy machine has; more would take
+most of an objective of 1 s from a request that has another engine left.
+"""
 IDLE_SECONDS = 20.0
+"""How long an unused connection is kept where the engine's answers do not say. Chosen, not
+measured: an engine that closed it earlier is found out by `is_clean` before the next use.
+"""
 IDLE_MARGIN_SECONDS = 0.4
+"""Before an engine's own limit, a connection is used no more. Chosen, not measured: a request that
+leaves as the engine closes would break off, and may not be repeated; the way between regions takes
+0.02 s.
+"""
 MOST_STRAY_ANSWERS = 4
+"""Answers of other requests, and interim heads, that are read over before the request's own.
+Chosen, not measured: a connection with more is not worth its reading, and is closed.
+"""
 KEPT_CONNECTIONS = 16
+"""Unused connections kept to one engine. Chosen, not measured: an engine accepts a hundred from all
+gateways together where its row does not say otherwise; more than so many are closed after use and
+cost a new one when they are needed.
+"""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/gateway/engines/orders.py
+++ b/src/pondtiller/gateway/engines/orders.py
@@ -1,4 +1,8 @@
-"""Orders to engines, and their own reports."""
+"""Orders to engines, and their own reports.
+
+Owns nothing. Does not decide what is ordered (`rollouts.versions`) nor whether this gateway may
+order (`gateway.leader.order_rights`); an order whose outcome is not known is never repeated here.
+"""
 
 from collections.abc import Callable
 
@@ -10,7 +14,13 @@
 from pondtiller.routes.engines import EngineDirectory
 
 ORDER_SECONDS = 0.7
+"""Longest wait for an engine's answer to an order; part of the time after which an order may no
+longer arrive, so a longer one delays a new leader's first orders. Chosen, not measured.
+"""
 REPORT_SECONDS = 0.5
+"""Longest wait for an engine's report. Chosen, not measured: a report that does not come counts as
+none: what was known of the engine stays.
+"""
 
 
 class EngineOrders:
--- a/src/pondtiller/gateway/engines/suspect_sharing.py
+++ b/src/pondtiller/gateway/engines/suspect_sharing.py
@@ -3,6 +3,9 @@
 Each content has one object, which any gateway may write under its revision. A gateway that starts
 learns of all contents from there, so that none of them has to end engines again to be known.
 While the store does not answer, what was known stays in force, and news wait.
+
+Owns what is still to be removed from the store. Relies on `SuspectContents` for what is known here
+and what is to be told. Does not judge when a content is held back: `routes.quarantine` does.
 """
 
 from collections.abc import Awaitable, Callable
@@ -32,7 +35,7 @@
 PAUSE_SECONDS = 0.1
 """Between two writes of one gateway: ten a second, of the 400 that the platform's smallest store
 grants to all daemons together."""
-MOST_TRIES = 4
+MOST_WRITES = 4
 """Writes of one content before others have their turn: another gateway wrote it meanwhile."""
 CLEARED_SECONDS = 60.0
 """How long the object of a content stays that was answered: gateways that were cut off meanwhile
@@ -181,7 +184,7 @@
 
     async def _write(self, content: str) -> bool:
         """Write a content's object; False where others wrote it each time first."""
-        for _ in range(MOST_TRIES):
+        for _ in range(MOST_WRITES):
             known = self._suspects.quarantine.suspects.get(content)
             if known is not None:
                 spec = objects.suspect_spec(known)
--- a/src/pondtiller/routes/answer_times.py
+++ b/src/pondtiller/routes/answer_times.py
@@ -1,23 +1,35 @@
-"""How long a service's answers take, as one daemon has seen it: when a second engine is tried.
+"""How long answers take, as one gateway has seen it: when a hedge begins. No I/O.
 
 A request that waits longer than nearly all others did is likelier at a silent or slow engine than
-at a busy one, so a second try then costs few needless runs (Dean and Barroso, The Tail at Scale).
+at a busy one, so a hedge then costs few needless runs (Dean and Barroso, The Tail at Scale).
+
+Owns the last answers' times; `service_times` keeps one for each service and each row. Whether a
+hedge may begin is `live_attempts.may_hedge`.
 """
 
 from collections import deque
 
 KEPT_ANSWERS = 64
+"""Answers of one service that its usual time is taken from. Chosen, not measured: the slowest of
+twenty is then the fifth slowest, so that no single answer decides, and at a request a second the
+oldest is a minute old.
+"""
 FEWEST_ANSWERS = 16
 """Of fewer answers the slowest of twenty cannot be told."""
 USUAL_QUANTILE = 0.95
+"""Part of the answers that come within the usual time. As Dean and Barroso have it: one request in
+twenty is hedged at most. Played in pairs against half of a row's objective, no difference told from
+noise (0.03) on seven days; taken since it needs no setting.
+"""
 FIRST_SECONDS = 0.1
 """Until enough answers were seen. On quiet days half of the answers took 40 ms and 99 of 100 took
 105 to 120 ms, on deployments with work of 25 to 40 ms."""
 SHORTEST_SECONDS = 0.06
 """Less is noise of the daemon itself."""
-
-
 SMOOTHED_WEIGHT = 0.2
+"""Weight of the last answer of a row. Chosen, not measured: as `ANSWER_WEIGHT` for an engine, so
+that a row's time and its engines' follow a change alike.
+"""
 SMOOTHED_KEPT_SECONDS = 3.0
 """As for an engine's pace: an older time tells nothing of now."""
 
--- a/src/pondtiller/routes/engines.py
+++ b/src/pondtiller/routes/engines.py
@@ -3,6 +3,11 @@
 An engine may start again under its name. Its identifier here names one start of it, so whatever is
 kept by identifier belongs to that start, and another start is another engine, also at the same
 address. What is leaving or gone gets no new work.
+
+Owns the directory and, for each engine, this gateway's own requests, failures, times and limit; all
+lost at a restart, the entries come again with the list. Relies on its callers for the time and for
+reading the list. Does not choose among engines: `engine_choice` does for live requests,
+`rollouts.placement` for samples; the last look before a request leaves is `send_gate`.
 """
 
 import math
@@ -15,15 +20,37 @@
 from pondtiller.routes.places import Places
 
 SUSPECT_SECONDS = 1.0
+"""How long an engine is kept whose entry went without notice, to serve where no other does: the
+list may have lost the entry, not the engine. Chosen, not measured: an attempt at one that is gone
+fails at its connection, and within two pauses for failures it is dropped.
+"""
 FAILURE_PAUSE_SECONDS = 0.5
+"""How long an engine comes last after a failure, times its failures in a row. Load: an engine ends,
+and each request that tries it pays for a connection. Chosen, not measured: as long as a connection
+may take to come up; where it is the only engine left, it is tried all the same.
+"""
 LONGEST_PAUSE_SECONDS = 2.0
+"""Longest pause after failures, four in a row. Chosen, not measured: an engine that is back is used
+again within two seconds.
+"""
 REFUSAL_PAUSE_SECONDS = 0.05
+"""How long an engine that refused is passed over. Load: an engine's queue is full. Chosen, not
+measured: about one answer's time (half of them took 40 ms on quiet days), within which a place
+becomes free; shorter pauses repeat the refusal, longer ones leave the place empty.
+"""
 EVACUATED_PAUSE_SECONDS = 0.5
 """After another daemon refused to send there: this one learns of the evacuation within seconds."""
 REMEMBER_LEFT_SECONDS = 30.0
 """How long an engine's end is known, so that a late order to run something there is refused."""
 ANSWER_WEIGHT = 0.2
+"""Weight of the last answer in an engine's smoothed time. Chosen, not measured: an engine that
+turns slow is known after about five answers, and one slow answer is not enough.
+"""
 PACE_SECONDS = 3.0
+"""How long an engine's times count after the last was taken. Load: an engine was slow and is left,
+so that nothing new is learned of it. Chosen, not measured: it is tried again then, and one that is
+still slow costs an answer every 3 s.
+"""
 LONGEST_COLD_SECONDS = 120.0
 """A longer time in an entry is taken for an error; the next entry says it again if it is true."""
 START_MARK = "@"
--- a/src/pondtiller/routes/sheet_rows.py
+++ b/src/pondtiller/routes/sheet_rows.py
@@ -5,6 +5,7 @@
 from pondtiller.table.sheet import Row, RowKind, Sheet
 
 HIGHEST_PRIORITY = 9
+"""Of a row in the operators' table, where 9 is the most urgent; a route's rank counts from 0 on."""
 
 
 def sheet_of(table: RouteTable) -> Sheet:
--- a/src/pondtiller/routes/table.py
+++ b/src/pondtiller/routes/table.py
@@ -14,6 +14,7 @@
 from pondtiller.routes.tenants import TenantIndex, TenantRow
 
 HASH_SPAN = 1 << 64
+"""Numbers that `hashing.score` may give: it returns 64 bits."""
 
 
 class RequestKind(StrEnum):
