--- a/src/pondtiller/gateway/callers/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -5,8 +5,8 @@
 an attempt's end means is `routes.live_attempts.judge_stream`.
 
 A stream differs from a whole request in that it has one attempt at a time, waits in no line and for
-no room (its caller reads the first event as soon as there is one, and an engine's own queue is as
-good a place), and counts each engine that it was sent to or could not reach.
+no room (an engine that is full queues it or refuses it), and counts each engine that it was sent to
+or could not reach. None of this was measured against the way of whole requests.
 """
 
 from dataclasses import dataclass, field
@@ -133,7 +133,7 @@
         if engine is None or len(attempts.engines) >= route.attempts:
             return StreamStep(NextStep.GIVE_UP, Failure(error_without_engines(attempts.ran)))
         if now >= request.deadline:
-            # Also where nothing ran: a stream's deadline is not known as one of a line.
+            # Said also where nothing ran: a stream stands in no line in which it could expire.
             return StreamStep(NextStep.GIVE_UP, Failure(ErrorKind.DEADLINE_EXCEEDED))
         attempts.engines.add(engine.identifier)
         return await self._attempt(stream, engine)
--- a/src/pondtiller/gateway/callers/tenant_rates.py
+++ b/src/pondtiller/gateway/callers/tenant_rates.py
@@ -1,14 +1,17 @@
-"""Holds tenants to their rates: a request of a tenant that has one leaves a share of it first."""
+"""Holds tenants to their rates: a request of a tenant that has one takes a place of a share first.
+
+Owns nothing: `ShareAsker` holds this gateway's shares, which a leader grants. What a rate allows,
+and what a request above it is answered, is `routes.rates`.
+"""
 
 from collections.abc import Callable
 
 from pondtiller.coordination.rate_shares import HeldRate, RateTerms
-from pondtiller.errors import ErrorKind, Failure
+from pondtiller.errors import Failure
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.peers.share_asker import ShareAsker
 from pondtiller.process import clock, logs
-from pondtiller.routes.rates import rate_terms, subject_of
-from pondtiller.routes.retry_after import after_rate
+from pondtiller.routes.rates import RefusalInputs, rate_refusal, rate_terms, subject_of
 from pondtiller.routes.table import RouteTable
 from pondtiller.routes.tenants import TenantRow
 
@@ -75,10 +78,12 @@
         return self._refuse(tenant, request, held, began)
 
     def _refuse(self, tenant: str, request: str, held: HeldRate, began: float) -> Failure:
-        """Refuse as not run: above the rate, or, where no leader answered, as not ready."""
+        """Refuse as not run, and say so in the log."""
         now = clock.monotonic()
         is_known = held.was_answered_since(began) or held.usable(now) > 0
-        pause = self._pause(held, now)
+        refusal = rate_refusal(
+            RefusalInputs(is_known, held.free_at(now), held.terms.window_seconds, now)
+        )
         self._metrics.rate_refused += 1
         logs.decision(
             "rate_refused",
@@ -88,11 +93,7 @@
             share=held.usable(now),
             waited=now - began,
             known=is_known,
-            pause=pause,
+            pause=refusal.pause_seconds,
         )
-        kind = ErrorKind.LIMIT_REACHED if is_known else ErrorKind.NOT_READY
-        return Failure(kind, "the tenant's rate", retry_after_seconds=pause)
-
-    def _pause(self, held: HeldRate, now: float) -> float:
-        """Return when to come back: when a place of this daemon's share is free, else a window."""
-        return after_rate(held.free_at(now), held.terms.window_seconds, now)
+        detail = "the tenant's rate"
+        return Failure(refusal.kind, detail, retry_after_seconds=refusal.pause_seconds)
--- a/src/pondtiller/gateway/callers/waiting.py
+++ b/src/pondtiller/gateway/callers/waiting.py
@@ -1,4 +1,9 @@
-"""Requests that wait at a gateway for engines, and how they are woken in turn."""
+"""Requests that wait at a gateway for engines, and how they are woken in turn.
+
+Owns the lines, one for each service and set of homes. Who may wait, for how long and in which order
+is `routes.live_queue` and `routes.live_attempts.may_wait`; whoever is woken asks for an engine
+itself.
+"""
 
 import random
 from dataclasses import dataclass
--- a/src/pondtiller/gateway/engines/cold_sends.py
+++ b/src/pondtiller/gateway/engines/cold_sends.py
@@ -1,4 +1,8 @@
-"""Holds requests back from cold engines, beyond what this daemon's shares allow."""
+"""Holds requests back from cold engines, beyond what this gateway's shares allow.
+
+Owns which engines were cold at the last look, for the log. Which engines are cold, and what they
+bear, is `routes.cold`; shares are asked for by `ShareAsker` and granted by the leader.
+"""
 
 from pondtiller.coordination.rate_shares import RateTerms
 from pondtiller.gateway.metrics import GatewayMetrics
--- a/src/pondtiller/gateway/engines/engine_ends.py
+++ b/src/pondtiller/gateway/engines/engine_ends.py
@@ -2,6 +2,9 @@
 
 A reset connection, a lost answer and an engine that ended look alike to the request that waited
 there. The engine's port tells them apart: it refuses once nothing listens there.
+
+Owns which engines ended within the last second. Does not say what becomes of the request that broke
+off: `routes.live_attempts` does.
 """
 
 from typing import NamedTuple
@@ -19,13 +22,13 @@
 
 ASK_SECONDS = 0.15
 """How long a port is asked: a refusal takes one way there and back, 0.04 s between regions. A
-request waits so long for its next try at most."""
+request waits so long for its next attempt at most."""
 KNOWN_SECONDS = 1.0
 """How long an answer of a port holds for the other requests that broke off there with it. An engine
 that ended takes longer to start again."""
 LOOK_AGAIN_SECONDS = 0.1
 """From an answer of the port until it is looked at again: a program may close its connections some
-time before it ends. The request's next try does not wait for it."""
+time before it ends. The request's next attempt does not wait for it."""
 
 
 class BrokenOff(NamedTuple):
--- a/src/pondtiller/gateway/engines/suspects.py
+++ b/src/pondtiller/gateway/engines/suspects.py
@@ -1,4 +1,9 @@
-"""What this gateway knows of contents that end engines, and what is still to be told to others."""
+"""What this gateway knows of contents that end engines, and what is still to be shared with others.
+
+Owns the quarantine and the news; both last as long as the process, the contents also in the store
+(`suspect_sharing`). When a content is held back is `routes.quarantine`; what its requests are
+answered is `routes.live_attempts.error_of_held_content`.
+"""
 
 import curio
 
--- a/src/pondtiller/routes/cold.py
+++ b/src/pondtiller/routes/cold.py
@@ -3,6 +3,9 @@
 An engine is cold while its entry says so. One that failed here and has not written an entry since
 may have started anew without this daemon's knowing: it is taken for cold until it writes one, or
 as long as a start of its service lasts.
+
+Owns what leaders said of engines within the last second. Does not count what is sent:
+`gateway.engines.cold_sends` takes shares for that.
 """
 
 from collections.abc import Callable
--- a/src/pondtiller/routes/concurrency_limit.py
+++ b/src/pondtiller/routes/concurrency_limit.py
@@ -6,6 +6,9 @@
 so one's own count does not tell. What tells is a refusal, or an answer that comes late: the limit
 falls by a factor, and rises by one for each round of answers in good time (additive increase,
 multiplicative decrease, as TCP shares a link). Each daemon comes to a fair part of the places.
+
+Owns one engine's limit, kept in `Engine` and lost at a restart. Binds live requests only, not
+samples.
 """
 
 DECREASE = 0.7
--- a/src/pondtiller/routes/live_queue.py
+++ b/src/pondtiller/routes/live_queue.py
@@ -12,7 +12,11 @@
 - A request that would be answered too late at the observed pace is refused at once. The pace is the
   time of an answer divided by how many may be at engines together. While no engine is known to
   answer, there is no pace: nothing is refused at once, and requests wait as above.
-- The time to come back follows from the pace; without one, from the time that is left.
+- The time to come back follows from the pace; without one, from the time that is left
+  (`retry_after`).
+
+Owns the order of those that wait. Does not wake them (`gateway.callers.waiting`) nor choose an
+engine (`engine_choice`).
 """
 
 import heapq
--- a/src/pondtiller/routes/quarantine.py
+++ b/src/pondtiller/routes/quarantine.py
@@ -4,6 +4,9 @@
 So ends are counted by what the request holds, not by request or by daemon. A content under which
 a few engines ended with no answer of it between is held back from all engines; each answer of an
 engine proves that the content does not end all that run it, and its ends are forgotten.
+
+Owns the contents of one gateway. Does not share them (`gateway.engines.suspect_sharing`) nor refuse
+requests (`live_attempts.error_of_held_content`).
 """
 
 from collections import OrderedDict
--- a/src/pondtiller/routes/send_gate.py
+++ b/src/pondtiller/routes/send_gate.py
@@ -2,8 +2,10 @@
 
 An engine was chosen some time before: a connection was opened meanwhile, or the request waited.
 Whatever forbids new work to an engine is asked here again, by all that send requests to
-engines: callers' whole requests and streams, second tries, resumed streams, samples, and
-scorers' requests. Health checks and orders do not pass here.
+engines: callers' whole requests and streams, hedges, resumed streams, samples, and scorers'
+requests. Health checks and orders do not pass here.
+
+Owns the list of rules, filled once at the start. Does not choose an engine.
 """
 
 from collections.abc import Callable
--- a/src/pondtiller/routes/silent_zones.py
+++ b/src/pondtiller/routes/silent_zones.py
@@ -2,6 +2,9 @@
 
 Each attempt to connect to an engine that is cut off takes its whole limit, and one caller after
 the other would pay it, an engine each. So engines of one zone that keep silent tell of the others.
+
+Owns what was met in each zone; lost at a restart. Never forbids a zone: `engine_choice` puts it
+last.
 """
 
 from dataclasses import dataclass, field
--- a/src/pondtiller/routes/table.py
+++ b/src/pondtiller/routes/table.py
@@ -2,6 +2,9 @@
 
 These are the table's rows as an operator's whole configuration gives them. They are values:
 a newer version replaces all of them at once.
+
+Owns no state. Read from the operators' configuration by `platform.configuration`; what is done with
+a row's cells is decided where the request is (`gateway.callers`, `rollouts`).
 """
 
 import re
--- a/src/pondtiller/routes/tests/test_rates.py
+++ b/src/pondtiller/routes/tests/test_rates.py
@@ -1,7 +1,10 @@
+import math
+
 import pytest
 
 from pondtiller.coordination.rate_shares import WINDOW_SECONDS
-from pondtiller.routes.rates import rate_terms
+from pondtiller.errors import ErrorKind
+from pondtiller.routes.rates import RefusalInputs, rate_refusal, rate_terms
 
 
 @pytest.mark.parametrize(
@@ -16,3 +19,10 @@
     terms = rate_terms(0.25, 0.0)
     assert (terms.total, terms.window_seconds) == (1, 4 * WINDOW_SECONDS)
     assert rate_terms(0.0, 0.1).total == 0
+
+
+def test_a_refusal_says_whether_the_rate_is_reached_and_when_a_place_is_free():
+    inputs = RefusalInputs(is_known=True, free_at=10.5, window_seconds=1.0, now=10.0)
+    assert rate_refusal(inputs) == (ErrorKind.LIMIT_REACHED, 0.5)
+    unknown = inputs._replace(is_known=False, free_at=math.inf)
+    assert rate_refusal(unknown) == (ErrorKind.NOT_READY, 1.0)
