--- a/src/pondtiller/gateway/runs/sample_runner.py
+++ b/src/pondtiller/gateway/runs/sample_runner.py
@@ -18,17 +18,12 @@
 from pondtiller.platform.engine_format import EventReader
 from pondtiller.process import clock
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName, ScoreEnd
+from pondtiller.routes.live_attempts import scorer_plan
 from pondtiller.routes.quarantine import sample_content
 from pondtiller.routes.send_gate import Held, SendGate
 from pondtiller.routes.table import RouteTable
 from pondtiller.wire.steplog import Sample, Scorer
 
-SCORER_TIMES = 6.0
-"""Times within which nearly all answers come: two engines one after the other, and as long again
-for both where they are slow."""
-SHORTEST_SCORER_SECONDS = 0.6
-SCORER_ENGINES = 2
-
 ANSWERED_ENDS = (RunEnd.WHOLE, RunEnd.FAILED, RunEnd.IMPOSSIBLE)
 """Ends of a run that an engine told, and so outlived."""
 
@@ -215,8 +210,7 @@
         service = route.choose_service(scorer.id)
         if not self._forwarder.has_room(service, route.homes):
             return ScoreOutcome(ScoreEnd.LOST, "", "no room")
-        usual = self._forwarder.usual_seconds(service)
-        seconds = max(SHORTEST_SCORER_SECONDS, SCORER_TIMES * usual)
+        plan = scorer_plan(self._forwarder.usual_seconds(service), route.attempts)
         request = ForwardedRequest(
             identifier=scorer.id,
             method="POST",
@@ -224,11 +218,9 @@
             headers=engine_format.scorer_headers(scorer.id, scorer.host, scorer.body),
             body=scorer.body,
             content=content_digest(scorer.host.encode(), scorer.path.encode(), scorer.body),
-            deadline=clock.monotonic() + seconds,
-        )
-        answer = await self._forwarder.whole(
-            request, replace(route, attempts=min(SCORER_ENGINES, route.attempts))
+            deadline=clock.monotonic() + plan.seconds,
         )
+        answer = await self._forwarder.whole(request, replace(route, attempts=plan.engines))
         if isinstance(answer, Failure):
             return ScoreOutcome(ScoreEnd.LOST, "", answer.kind.value, route.attempts)
         signature = engine_format.signature(answer.headers)
--- a/src/pondtiller/routes/live_attempts.py
+++ b/src/pondtiller/routes/live_attempts.py
@@ -17,6 +17,15 @@
 
 OVERDUE_TIMES = 2.0
 """A request that waits for twice the usual time is taken to be at an engine that is gone."""
+SCORER_TIMES = 6.0
+"""Times within which nearly all answers come: two engines one after the other, and as long again
+for both where they are slow."""
+SHORTEST_SCORER_SECONDS = 0.6
+"""Least time of a scorer's request. Chosen, not measured: `SCORER_TIMES` of the usual time that is
+taken while few answers were seen, 0.1 s."""
+SCORER_ENGINES = 2
+"""Most engines that one scorer's request goes to. Chosen, not measured: the leader asks again with
+another request, so more engines at once only add load where engines fail."""
 
 
 class HedgeInputs(NamedTuple):
@@ -211,3 +220,32 @@
 def error_of_held_content(ran: Ran) -> ErrorKind:
     """Return what a request is answered whose content no engine may get: engines ended under it."""
     return ErrorKind.ENDS_ENGINES if ran is Ran.NO else ErrorKind.ENGINE_FAILED
+
+
+class ScorerPlan(NamedTuple):
+    """How long a scorer's request may take, and how many engines it may go to.
+
+    Attributes
+    ----------
+    seconds
+        From its start until its answer is due.
+    engines
+        At most, hedges included.
+    """
+
+    seconds: float
+    engines: int
+
+
+def scorer_plan(usual_seconds: float, row_engines: int) -> ScorerPlan:
+    """Return the bounds of a scorer's request, for which no caller has set a deadline.
+
+    Parameters
+    ----------
+    usual_seconds
+        Within which nearly all answers of the service come.
+    row_engines
+        Engines that the scorer's row allows a request.
+    """
+    seconds = max(SHORTEST_SCORER_SECONDS, SCORER_TIMES * usual_seconds)
+    return ScorerPlan(seconds, min(SCORER_ENGINES, row_engines))
--- a/src/pondtiller/routes/tests/test_live_attempts.py
+++ b/src/pondtiller/routes/tests/test_live_attempts.py
@@ -5,6 +5,9 @@
 from pondtiller.errors import ErrorKind, Ran
 from pondtiller.routes.live_attempts import (
     OVERDUE_TIMES,
+    SCORER_ENGINES,
+    SCORER_TIMES,
+    SHORTEST_SCORER_SECONDS,
     AnswerFacts,
     AttemptEnd,
     HedgeInputs,
@@ -19,6 +22,7 @@
     judge_stream,
     may_hedge,
     may_wait,
+    scorer_plan,
 )
 
 NOT_SENT = (AttemptEnd.HELD_BACK, AttemptEnd.UNREACHABLE, AttemptEnd.REFUSED)
@@ -107,3 +111,8 @@
     assert error_without_time(Ran.UNKNOWN) is ErrorKind.DEADLINE_EXCEEDED
     assert error_of_held_content(Ran.NO) is ErrorKind.ENDS_ENGINES
     assert error_of_held_content(Ran.UNKNOWN) is ErrorKind.ENGINE_FAILED
+
+
+def test_a_scorer_s_request_gets_several_usual_times_and_few_engines() -> None:
+    assert scorer_plan(0.02, 9) == (SHORTEST_SCORER_SECONDS, SCORER_ENGINES)
+    assert scorer_plan(0.5, 1) == (0.5 * SCORER_TIMES, 1)
