--- a/src/pondtiller/gateway/callers/waiting.py
+++ b/src/pondtiller/gateway/callers/waiting.py
@@ -1,4 +1,9 @@
-"""Requests that wait at a gateway for engines, and how they are woken in turn."""
+"""Requests that wait at a gateway for engines, and how they are woken in turn.
+
+Owns the lines, one for each service and set of homes. Who may wait, for how long and in which order
+is `routes.live_queue` and `routes.live_attempts.may_wait`; whoever is woken asks for an engine
+itself.
+"""
 
 import random
 from dataclasses import dataclass
@@ -7,11 +12,7 @@
 import curio
 
 from pondtiller.process import clock
-from pondtiller.routes.engines import REFUSAL_PAUSE_SECONDS
-from pondtiller.routes.live_queue import LiveQueue, Ticket
-
-LOOK_AGAIN_SECONDS = REFUSAL_PAUSE_SECONDS
-"""How often the first of those that wait tries the engines again, besides each answer."""
+from pondtiller.routes.live_queue import LOOK_AGAIN_SECONDS, LiveQueue, Ticket
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/gateway/runs/sample_runner.py
+++ b/src/pondtiller/gateway/runs/sample_runner.py
@@ -8,7 +8,8 @@
 from pondtiller.address import Address
 from pondtiller.errors import Failure
 from pondtiller.gateway.callers.forward import Forwarder
-from pondtiller.gateway.callers.race import ForwardedRequest
+from pondtiller.gateway.callers.request import ForwardedRequest
+from pondtiller.gateway.callers.sending import EngineSender
 from pondtiller.gateway.engines.cold_sends import ColdSends
 from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, HeldBackError
 from pondtiller.hashing import content_digest
@@ -17,17 +18,12 @@
 from pondtiller.platform.engine_format import EventReader
 from pondtiller.process import clock
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName, ScoreEnd
+from pondtiller.routes.live_attempts import scorer_plan
 from pondtiller.routes.quarantine import sample_content
 from pondtiller.routes.send_gate import Held, SendGate
 from pondtiller.routes.table import RouteTable
 from pondtiller.wire.steplog import Sample, Scorer
 
-SCORER_TIMES = 6.0
-"""Times within which nearly all answers come: two engines one after the other, and as long again
-for both where they are slow."""
-SHORTEST_SCORER_SECONDS = 0.6
-SCORER_ENGINES = 2
-
 ANSWERED_ENDS = (RunEnd.WHOLE, RunEnd.FAILED, RunEnd.IMPOSSIBLE)
 """Ends of a run that an engine told, and so outlived."""
 
@@ -129,6 +125,7 @@
         self._gate = gate
         self._cold = cold
         self._pool = pool
+        self._sender = EngineSender(pool, gate, forwarder.suspects, cold)
         self._forwarder = forwarder
         self._find_table = find_table
 
@@ -141,9 +138,8 @@
         suspects = self._forwarder.suspects
         await self._prepare(order)
         try:
-            connection = await self._pool.take_to_send(order.engine, order.address, self._gate)
-            if suspects.is_held(content):
-                raise HeldBackError(Held.ENDS_ENGINES)
+            # The leader watches a run's time: no deadline holds it back here.
+            connection = await self._sender.take(order.engine, order.address, content, math.inf)
             outcome = await self._stream(order, connection, take)
             if outcome.end in ANSWERED_ENDS:
                 await suspects.note_answer(content)
@@ -163,11 +159,9 @@
                 await connection.close()
 
     async def _prepare(self, order: RunOrder) -> None:
-        if self._cold is None:
-            return
-        if order.is_cold:
+        if self._cold is not None and order.is_cold:
             self._cold.told(order.engine)
-        await self._cold.prepare(order.engine, math.inf)
+        await self._sender.prepare(order.engine, math.inf)
 
     async def _stream(
         self, order: RunOrder, connection: EngineConnection, take: EventSink
@@ -216,8 +210,7 @@
         service = route.choose_service(scorer.id)
         if not self._forwarder.has_room(service, route.homes):
             return ScoreOutcome(ScoreEnd.LOST, "", "no room")
-        usual = self._forwarder.usual_seconds(service)
-        seconds = max(SHORTEST_SCORER_SECONDS, SCORER_TIMES * usual)
+        plan = scorer_plan(self._forwarder.usual_seconds(service), route.attempts)
         request = ForwardedRequest(
             identifier=scorer.id,
             method="POST",
@@ -225,11 +218,9 @@
             headers=engine_format.scorer_headers(scorer.id, scorer.host, scorer.body),
             body=scorer.body,
             content=content_digest(scorer.host.encode(), scorer.path.encode(), scorer.body),
-            deadline=clock.monotonic() + seconds,
-        )
-        answer = await self._forwarder.whole(
-            request, replace(route, attempts=min(SCORER_ENGINES, route.attempts))
+            deadline=clock.monotonic() + plan.seconds,
         )
+        answer = await self._forwarder.whole(request, replace(route, attempts=plan.engines))
         if isinstance(answer, Failure):
             return ScoreOutcome(ScoreEnd.LOST, "", answer.kind.value, route.attempts)
         signature = engine_format.signature(answer.headers)
--- a/src/pondtiller/routes/engines.py
+++ b/src/pondtiller/routes/engines.py
@@ -3,6 +3,11 @@
 An engine may start again under its name. Its identifier here names one start of it, so whatever is
 kept by identifier belongs to that start, and another start is another engine, also at the same
 address. What is leaving or gone gets no new work.
+
+Owns the directory and, for each engine, this gateway's own requests, failures, times and limit; all
+lost at a restart, the entries come again with the list. Relies on its callers for the time and for
+reading the list. Does not choose among engines: `engine_choice` does for live requests,
+`rollouts.placement` for samples; the last look before a request leaves is `send_gate`.
 """
 
 import math
@@ -12,18 +17,39 @@
 
 from pondtiller.address import Address
 from pondtiller.routes.concurrency_limit import ConcurrencyLimit
+from pondtiller.routes.engine_starts import EngineStarts
 from pondtiller.routes.places import Places
 
 SUSPECT_SECONDS = 1.0
+"""How long an engine is kept whose entry went without notice, to serve where no other does: the
+list may have lost the entry, not the engine. Chosen, not measured: an attempt at one that is gone
+fails at its connection, and within two pauses for failures it is dropped.
+"""
 FAILURE_PAUSE_SECONDS = 0.5
+"""How long an engine comes last after a failure, times its failures in a row. Load: an engine ends,
+and each request that tries it pays for a connection. Chosen, not measured: as long as a connection
+may take to come up; where it is the only engine left, it is tried all the same.
+"""
 LONGEST_PAUSE_SECONDS = 2.0
+"""Longest pause after failures, four in a row. Chosen, not measured: an engine that is back is used
+again within two seconds.
+"""
 REFUSAL_PAUSE_SECONDS = 0.05
+"""How long an engine that refused is passed over. Load: an engine's queue is full. Chosen, not
+measured: about one answer's time (half of them took 40 ms on quiet days), within which a place
+becomes free; shorter pauses repeat the refusal, longer ones leave the place empty.
+"""
 EVACUATED_PAUSE_SECONDS = 0.5
 """After another daemon refused to send there: this one learns of the evacuation within seconds."""
-REMEMBER_LEFT_SECONDS = 30.0
-"""How long an engine's end is known, so that a late order to run something there is refused."""
 ANSWER_WEIGHT = 0.2
+"""Weight of the last answer in an engine's smoothed time. Chosen, not measured: an engine that
+turns slow is known after about five answers, and one slow answer is not enough.
+"""
 PACE_SECONDS = 3.0
+"""How long an engine's times count after the last was taken. Load: an engine was slow and is left,
+so that nothing new is learned of it. Chosen, not measured: it is tried again then, and one that is
+still slow costs an answer every 3 s.
+"""
 LONGEST_COLD_SECONDS = 120.0
 """A longer time in an entry is taken for an error; the next entry says it again if it is true."""
 START_MARK = "@"
@@ -239,9 +265,7 @@
         self.awaits_evacuations = False
         self.engines: dict[str, Engine] = {}
         self._by_service: dict[str, dict[str, Engine]] = {}
-        self._left_at: dict[str, float] = {}
-        self._current: dict[str, str] = {}
-        self._earlier: set[str] = set()
+        self._starts = EngineStarts()
         self.starts_again = 0
         self.services: frozenset[str] | None = None
         self.revision = 0
@@ -281,7 +305,7 @@
     def gone(self, name: str, now: float) -> None:
         """Take the end of an engine's entry."""
         self.revision += 1
-        self._entry_gone(self._current.get(name, name), now)
+        self._entry_gone(self._starts.latest(name), now)
 
     def unread(self, name: str) -> None:
         """Take an entry that cannot be read: the engine gets nothing new, what runs there goes on.
@@ -295,26 +319,23 @@
 
     def current(self, name: str) -> Engine | None:
         """Return the start of an engine that is known last."""
-        return self.engines.get(self._current.get(name, name))
+        return self.engines.get(self._starts.latest(name))
 
     def has_started_again(self, identifier: str) -> bool:
         """Return whether a later start of an engine is known: nothing of this one goes on."""
-        return identifier in self._earlier
+        return self._starts.is_superseded(identifier)
 
     def has_left(self, identifier: str, now: float) -> bool:
         """Return whether an engine is known to leave, or to be gone; an unknown one is not."""
         engine = self.engines.get(identifier)
         if engine is None:
-            return identifier in self._left_at
+            return self._starts.has_left(identifier)
         is_gone = engine.gone_at is not None and now >= engine.gone_at + SUSPECT_SECONDS
         return is_gone or engine.entry.state is EngineState.LEAVING
 
     def keep_house(self, now: float) -> None:
         """Drop old paces, and engines whose entries went some time ago and have no work."""
-        for identifier, left_at in list(self._left_at.items()):
-            if now > left_at + REMEMBER_LEFT_SECONDS:
-                del self._left_at[identifier]
-                self._earlier.discard(identifier)
+        self._starts.keep_house(now)
         for engine in list(self.engines.values()):
             engine.forget_pace(now)
             if engine.gone_at is None or now < engine.gone_at + SUSPECT_SECONDS:
@@ -373,8 +394,7 @@
             else:
                 self._supersede(before, now)
         identifier = entry.identifier
-        self._current[entry.engine] = identifier
-        self._left_at.pop(identifier, None)
+        self._starts.note_entry(entry.engine, identifier)
         engine = self.engines.get(identifier)
         if engine is None:
             engine = self.engines[identifier] = Engine(entry)
@@ -388,13 +408,11 @@
     def _supersede(self, engine: Engine, now: float) -> None:
         """Take that an engine has started again: its earlier start gets nothing, and has ended."""
         self.starts_again += 1
-        self._left_at[engine.identifier] = now
-        self._earlier.add(engine.identifier)
+        self._starts.note_superseded(engine.identifier, now)
         self._forget(engine)
 
     def _forget(self, engine: Engine) -> None:
-        if self._current.get(engine.entry.engine) == engine.identifier:
-            del self._current[engine.entry.engine]
+        self._starts.forget(engine.entry.engine, engine.identifier)
         del self.engines[engine.identifier]
         del self._by_service[engine.entry.service][engine.identifier]
 
@@ -402,7 +420,7 @@
         engine = self.engines.get(identifier)
         if engine is None:
             return
-        self._left_at[identifier] = now
+        self._starts.note_left(identifier, now)
         if engine.entry.state is EngineState.LEAVING and engine.running == 0:
             self._forget(engine)
         elif engine.gone_at is None:
--- a/src/pondtiller/routes/table.py
+++ b/src/pondtiller/routes/table.py
@@ -2,6 +2,9 @@
 
 These are the table's rows as an operator's whole configuration gives them. They are values:
 a newer version replaces all of them at once.
+
+Owns no state. Read from the operators' configuration by `platform.configuration`; what is done with
+a row's cells is decided where the request is (`gateway.callers`, `rollouts`).
 """
 
 import re
@@ -14,6 +17,7 @@
 from pondtiller.routes.tenants import TenantIndex, TenantRow
 
 HASH_SPAN = 1 << 64
+"""Numbers that `hashing.score` may give: it returns 64 bits."""
 
 
 class RequestKind(StrEnum):
