--- a/src/pondtiller/cli/tests/test_table_evacuate.py
+++ b/src/pondtiller/cli/tests/test_table_evacuate.py
@@ -7,7 +7,7 @@
 from pondtiller.cli.application import build
 from pondtiller.cli.table_evacuate import change
 from pondtiller.platform.object_client import PutOutcome
-from pondtiller.platform.standins import StandInStore
+from pondtiller.standins.store import StandInStore
 
 
 def test_an_evacuation_is_written_and_taken_back_once() -> None:
--- a/src/pondtiller/gateway/tests/system.py
+++ b/src/pondtiller/gateway/tests/system.py
@@ -12,13 +12,6 @@
 from pondtiller.gateway.process import GatewayProcess
 from pondtiller.httpio.client import HttpClient
 from pondtiller.httpio.messages import HttpResponse
-from pondtiller.platform.standins import (
-    StandInEngine,
-    StandInOperator,
-    StandInStore,
-    configuration,
-    step_body,
-)
 from pondtiller.process import clock
 from pondtiller.process.spawner import Spawner
 from pondtiller.replica.process import ReplicaProcess
@@ -32,6 +25,10 @@
     Scaling,
     Usage,
 )
+from pondtiller.standins.documents import configuration, step_body
+from pondtiller.standins.engine import StandInEngine
+from pondtiller.standins.operator import StandInOperator
+from pondtiller.standins.store import StandInStore
 
 ANY = "127.0.0.1:0"
 DUTIES = ("usage_report", "autoscaler")
--- a/src/pondtiller/gateway/tests/test_cold.py
+++ b/src/pondtiller/gateway/tests/test_cold.py
@@ -7,11 +7,12 @@
 
 from pondtiller.gateway.tests.let_through import LetThrough
 from pondtiller.gateway.tests.system import System, run_system
-from pondtiller.platform.standins import StandInEngine, configuration
 from pondtiller.process import clock
 from pondtiller.process.spawner import Spawner
 from pondtiller.routes.answer_times import AnswerTimes
 from pondtiller.routes.cold import subject_of
+from pondtiller.standins.documents import configuration
+from pondtiller.standins.engine import StandInEngine
 
 RATE = 14
 CALLS = 50
--- a/src/pondtiller/gateway/tests/test_ending_requests.py
+++ b/src/pondtiller/gateway/tests/test_ending_requests.py
@@ -20,19 +20,14 @@
 import curio
 import pytest
 
-from pondtiller.gateway.tests.ending_engine import (
-    DOWN_SECONDS,
-    ENDING,
-    EndingEngine,
-    EndingRun,
-    replace_engines,
-)
+from pondtiller.gateway.tests.ending_engines import replace_engines
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.httpio.server import ConnectionLostError, Exchange
 from pondtiller.platform import names
-from pondtiller.platform.standins import configuration, step_body
 from pondtiller.process import clock
 from pondtiller.routes.quarantine import MOST_SAMPLE_ENDS
+from pondtiller.standins.documents import configuration, step_body
+from pondtiller.standins.ending_engine import DOWN_SECONDS, ENDING, EndingEngine, EndingRun
 
 ENDS = 2
 """Ends under a content after which it is sent to no engine."""
--- a/src/pondtiller/gateway/tests/test_engines_start_again.py
+++ b/src/pondtiller/gateway/tests/test_engines_start_again.py
@@ -7,11 +7,12 @@
 import curio
 import pytest
 
-from pondtiller.gateway.tests.ending_engine import EndingEngine, replace_engines
+from pondtiller.gateway.tests.ending_engines import replace_engines
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.httpio.messages import HttpResponse
-from pondtiller.platform.standins import StandInEngine
 from pondtiller.routes.engines import EngineState
+from pondtiller.standins.ending_engine import EndingEngine
+from pondtiller.standins.engine import StandInEngine
 
 STEPS = 3
 SAMPLES = 6
--- a/src/pondtiller/gateway/tests/test_evacuations.py
+++ b/src/pondtiller/gateway/tests/test_evacuations.py
@@ -16,9 +16,10 @@
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import Exchange
 from pondtiller.platform.object_client import StoreCallError
-from pondtiller.platform.standins import StandInEngine, configuration
 from pondtiller.process import clock, logs
 from pondtiller.rollouts.sample_work import RunEnd
+from pondtiller.standins.documents import configuration
+from pondtiller.standins.engine import StandInEngine
 from pondtiller.store import evacuation_bounds as bounds
 from pondtiller.store import mirror as mirrors
 from pondtiller.store.evacuation_watch import EvacuationWatch
--- a/src/pondtiller/gateway/tests/test_held_runs.py
+++ b/src/pondtiller/gateway/tests/test_held_runs.py
@@ -18,11 +18,11 @@
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_runs_elsewhere import Engine, FakeLink, connected, texts
 from pondtiller.peers import replicas
-from pondtiller.platform.standins import StandInEngine
 from pondtiller.process import clock
 from pondtiller.rollouts import run_holding
 from pondtiller.rollouts.run_news import read_ends, read_events, read_scores
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, ScoreEnd
+from pondtiller.standins.engine import StandInEngine
 from pondtiller.wire.steplog import BeginRun, OfferRuns, RunNews, RunsTaken, Subscribe
 
 EVENTS = 60
--- a/src/pondtiller/gateway/tests/test_homes.py
+++ b/src/pondtiller/gateway/tests/test_homes.py
@@ -5,7 +5,7 @@
 
 from pondtiller.gateway.process import GatewayProcess
 from pondtiller.gateway.tests.system import System, run_system
-from pondtiller.platform.standins import configuration
+from pondtiller.standins.documents import configuration
 
 
 async def put_homes(system: System, **homes: list[str]) -> None:
--- a/src/pondtiller/gateway/tests/test_mirrored_store.py
+++ b/src/pondtiller/gateway/tests/test_mirrored_store.py
@@ -8,9 +8,9 @@
 from pondtiller.gateway.process import GatewayProcess
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.platform.object_client import StoreCallError
-from pondtiller.platform.standins import configuration
 from pondtiller.process import clock
 from pondtiller.replica import process as replica_process
+from pondtiller.standins.documents import configuration
 from pondtiller.store import mirror as mirrors
 from pondtiller.store.mirrored_store import (
     FIRST_NOT_MIRRORED_SECONDS,
--- a/src/pondtiller/gateway/tests/test_rates.py
+++ b/src/pondtiller/gateway/tests/test_rates.py
@@ -9,10 +9,10 @@
 from pondtiller.gateway.tests.let_through import LetThrough
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_tenants import ANN, BOB, KEYS, until_in_force
-from pondtiller.platform.standins import configuration, with_tenants
 from pondtiller.process import clock
 from pondtiller.process.spawner import Spawner
 from pondtiller.routes.rates import rate_terms, subject_of
+from pondtiller.standins.documents import configuration, with_tenants
 
 RATE = 10.0
 SUBJECT = subject_of("ann")
--- a/src/pondtiller/gateway/tests/test_scaling_duty.py
+++ b/src/pondtiller/gateway/tests/test_scaling_duty.py
@@ -8,10 +8,10 @@
 from pondtiller.gateway.leader.scaling_duty import CALL_SECONDS, ScalingDuty
 from pondtiller.gateway.process import GatewayProcess
 from pondtiller.gateway.tests.system import System, run_system
-from pondtiller.platform.standins import configuration
 from pondtiller.process import clock
 from pondtiller.rollouts import engine_need
 from pondtiller.rollouts.scaling import PolicyName, ScaleOrder, ServiceScale
+from pondtiller.standins.documents import configuration
 
 AUTOSCALE = {
     "min_replicas": 1,
--- a/src/pondtiller/gateway/tests/test_suspended.py
+++ b/src/pondtiller/gateway/tests/test_suspended.py
@@ -22,13 +22,13 @@
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.httpio.client import HttpClient, NotSentError
 from pondtiller.peers.share_asker import ShareAsker
-from pondtiller.platform.standins import StandInEngine
 from pondtiller.process import clock
 from pondtiller.rollouts.run_holding import HoldStep, LostLeader, next_step
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.send_gate import SendGate
 from pondtiller.routes.table import RequestKind, RouteRow, ServiceShare
 from pondtiller.settings import Keys
+from pondtiller.standins.engine import StandInEngine
 from pondtiller.store import mirror as mirrors
 from pondtiller.wire.steplog import ReadResults
 
--- a/src/pondtiller/gateway/tests/test_system.py
+++ b/src/pondtiller/gateway/tests/test_system.py
@@ -8,9 +8,9 @@
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange
-from pondtiller.platform.standins import configuration
 from pondtiller.process import clock
 from pondtiller.routes.answer_times import FIRST_SECONDS
+from pondtiller.standins.documents import configuration
 
 
 async def ready(system: System) -> None:
--- a/src/pondtiller/gateway/tests/test_tenants.py
+++ b/src/pondtiller/gateway/tests/test_tenants.py
@@ -8,8 +8,8 @@
 import pytest
 
 from pondtiller.gateway.tests.system import System, run_system
-from pondtiller.platform.standins import configuration, step_body, with_tenants
 from pondtiller.settings import Keys
+from pondtiller.standins.documents import configuration, step_body, with_tenants
 
 KEYS = {"ann": ["key-of-ann-1", "key-of-ann-2"], "bob": ["key-of-bob-1"]}
 ANN, ANN_OTHER, BOB = "key-of-ann-1", "key-of-ann-2", "key-of-bob-1"
--- a/src/pondtiller/soak/callers.py
+++ b/src/pondtiller/soak/callers.py
@@ -9,7 +9,8 @@
 from pondtiller.soak.caller_rules import RateRule, home_mark
 from pondtiller.soak.calls import Calls
 from pondtiller.soak.promises import NOT_RUN, Promises
-from pondtiller.soak.stand_ins import ENDING, SoakEngine
+from pondtiller.soak.stand_ins import SoakEngine
+from pondtiller.standins.ending_engine import ENDING
 
 CALL_SECONDS = 0.1
 RARE_CALL_EVERY = 4
--- a/src/pondtiller/soak/faults.py
+++ b/src/pondtiller/soak/faults.py
@@ -7,7 +7,6 @@
 import curio
 
 from pondtiller.platform import names
-from pondtiller.platform.standins import StandInStore
 from pondtiller.process import clock
 from pondtiller.process.spawner import Spawner
 from pondtiller.soak.leader_log import LeaderLog
@@ -15,6 +14,7 @@
 from pondtiller.soak.proxy import Proxy
 from pondtiller.soak.stand_ins import SoakEngine
 from pondtiller.soak.trap import Trap
+from pondtiller.standins.store import StandInStore
 
 ZONES = 3
 FAULT_PAUSE_SECONDS = (0.5, 4.0)
--- a/src/pondtiller/soak/run.py
+++ b/src/pondtiller/soak/run.py
@@ -10,7 +10,6 @@
 
 from pondtiller.address import to_address
 from pondtiller.platform import names
-from pondtiller.platform.standins import StandInStore, configuration, step_body, with_tenants
 from pondtiller.process import clock
 from pondtiller.process.spawner import Spawner
 from pondtiller.soak.caller_rules import RATE, RATE_EXCESS, HomeRule, RateRule
@@ -35,6 +34,8 @@
 from pondtiller.soak.sample_runs import SampleRuns
 from pondtiller.soak.stand_ins import Platform, SoakEngine
 from pondtiller.soak.trap import Trap
+from pondtiller.standins.documents import configuration, step_body, with_tenants
+from pondtiller.standins.store import StandInStore
 
 GATEWAYS = 3
 REPLICAS = 3
--- a/src/pondtiller/soak/stand_ins.py
+++ b/src/pondtiller/soak/stand_ins.py
@@ -10,7 +10,6 @@
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange
 from pondtiller.platform import names
-from pondtiller.platform.standins import StandInEngine, StandInStore
 from pondtiller.process import clock
 from pondtiller.soak.caller_rules import RateRule
 from pondtiller.soak.ending_rules import EndingRule, EndingRun
@@ -19,11 +18,11 @@
 from pondtiller.soak.promises import Promises
 from pondtiller.soak.proxy import Proxy
 from pondtiller.soak.sample_runs import SampleRun, SampleRuns
+from pondtiller.standins.ending_engine import ends_engine
+from pondtiller.standins.engine import FIRST_START_MS, NEVER, StandInEngine
+from pondtiller.standins.store import StandInStore
 
-ENDING = b"ends what runs it"
-"""What the body of a request begins with under which an engine ends."""
 ENDED_SECONDS = 1.0
-FIRST_START_MS = 1_700_000_000_000
 ONCE_PATH = "/list/"
 WHOLE_SECONDS = 0.02
 SHORT_EVENT_SECONDS = 0.05
@@ -33,12 +32,6 @@
 """Of so many samples of a step, one is long."""
 
 
-def event_seconds(sample: str) -> float:
-    """Return the time between two events of a sample, whose name ends with its number."""
-    is_long = int(sample.rpartition("-")[2]) % LONG_EVERY == 0
-    return LONG_EVENT_SECONDS if is_long else SHORT_EVENT_SECONDS
-
-
 class Platform(NamedTuple):
     """What all engines of a soak share.
 
@@ -94,7 +87,7 @@
         self._can_act_since = platform.can_act_since
         self.refused: set[str] = set()
         self.begun: set[str] = set()
-        self.born = FIRST_START_MS
+        self.started_ms = FIRST_START_MS
         self.ending = platform.ending
         self._could_know_since = platform.could_know_since
 
@@ -108,8 +101,7 @@
         """
         if self.proxy.is_ended:
             self.proxy.is_ended = False
-            self.born += 1000
-            self.orders.clear()
+            self.begin_next_start()
             self.publish()
 
     async def _end_under(self, exchange: Exchange) -> None:
@@ -130,7 +122,7 @@
     def entry(self, state: str = "ready") -> dict[str, object]:
         """Return its list entry, with the proxy's address."""
         cold = max(0.0, self.rules.cold_until - clock.monotonic())
-        own = {"address": self.proxy.address, "zone": self.zone, "born": self.born}
+        own = {"address": self.proxy.address, "zone": self.zone}
         return {**super().entry(state), **own, "cold_left_ms": int(cold * 1000)}
 
     def turn_cold(self) -> None:
@@ -159,7 +151,7 @@
 
     def publish(self) -> None:
         """Write its list entry into the store."""
-        self.store.put("servers", self.identifier, self.entry())
+        self.store.put(names.ENGINES, self.identifier, self.entry())
 
     def _order(self, order: dict[str, Any]) -> HttpResponse:
         answer = super()._order(order)
@@ -168,7 +160,7 @@
 
     async def whole(self, exchange: Exchange) -> None:
         """Answer like a sound engine, and count the run."""
-        if exchange.request.body.startswith(ENDING):
+        if ends_engine(exchange.request.body):
             await self._end_under(exchange)
         identifier = exchange.request.headers[names.REQUEST_ID]
         self.begun.add(identifier)
@@ -179,7 +171,7 @@
         await curio.sleep(WHOLE_SECONDS)
         await super().whole(exchange)
 
-    async def stream(self, exchange: Exchange, stop_after: int = 1_000_000) -> None:
+    async def stream(self, exchange: Exchange, stop_after: int = NEVER) -> None:
         """Stream a sample's events, each with the version that made it."""
         identifier = exchange.request.headers[names.REQUEST_ID]
         opener = self._opener(exchange)
@@ -189,7 +181,7 @@
         self.sample_runs.began(run)
         watch = await curio.spawn(self._end_when_left, exchange, run)
         try:
-            await self._send_events(exchange, identifier)
+            await super().stream(exchange, stop_after)
         finally:
             self.sample_runs.ended(run, clock.monotonic())
             await watch.cancel()
@@ -198,20 +190,11 @@
         await exchange.wait_closed()
         self.sample_runs.ended(run, clock.monotonic())
 
-    async def _send_events(self, exchange: Exchange, identifier: str) -> None:
-        first = int(exchange.request.headers.get(names.LAST_EVENT, "0")) + 1
-        version = self.version
-        headers = (
-            (names.REQUEST_ID, identifier),
-            (names.SIGNATURE, f"sig-{identifier}"),
-            (names.VERSIONS, str(version)),
-            ("Content-Type", "text/event-stream"),
-        )
-        await exchange.start_response(200, headers)
-        for number in range(first, self.events + 1):
-            await curio.sleep(event_seconds(identifier))
-            changed = f"{names.VERSIONS}: {self.version}\n" if self.version != version else ""
-            version = self.version
-            piece = f"{changed}id: {number}\ndata: {identifier}/{number}@{version}\n\n"
-            await exchange.send_piece(piece.encode())
-        await exchange.end_stream()
+    def seconds_to_event(self, sample: str) -> float:
+        """Return the time between two events of a sample, whose name ends with its number."""
+        is_long = int(sample.rpartition("-")[2]) % LONG_EVERY == 0
+        return LONG_EVENT_SECONDS if is_long else SHORT_EVENT_SECONDS
+
+    def event_data(self, sample: str, number: int) -> str:
+        """Return what an event holds, with the version that made it."""
+        return f"{sample}/{number}@{self.version}"
--- a/src/pondtiller/soak/tests/platforms.py
+++ b/src/pondtiller/soak/tests/platforms.py
@@ -1,12 +1,12 @@
 """What engines of a soak share, for tests that look at one of its parts."""
 
-from pondtiller.platform.standins import StandInStore
 from pondtiller.soak.caller_rules import RateRule
 from pondtiller.soak.ending_rules import EndingRule
 from pondtiller.soak.owners import Owners
 from pondtiller.soak.promises import Promises
 from pondtiller.soak.sample_runs import SampleRuns
 from pondtiller.soak.stand_ins import Platform
+from pondtiller.standins.store import StandInStore
 
 NEVER = float("-inf")
 
--- a/src/pondtiller/soak/tests/test_ending_rules.py
+++ b/src/pondtiller/soak/tests/test_ending_rules.py
@@ -6,11 +6,11 @@
 from pondtiller.address import Address
 from pondtiller.httpio.client import HttpClient, NotSentError
 from pondtiller.httpio.server import bind_tcp
-from pondtiller.platform.standins import StandInStore
 from pondtiller.soak.ending_rules import MOST_LATER, TOLD_SECONDS, EndingRule, EndingRun, StoreReach
 from pondtiller.soak.promises import Promises
 from pondtiller.soak.proxy import Proxy
 from pondtiller.soak.trap import NAMES, Trap
+from pondtiller.standins.store import StandInStore
 
 NEVER = float("-inf")
 
--- a/src/pondtiller/soak/trap.py
+++ b/src/pondtiller/soak/trap.py
@@ -2,10 +2,11 @@
 
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import Exchange
-from pondtiller.platform.standins import StandIn, StandInStore
+from pondtiller.platform import names
 from pondtiller.soak.promises import Promises
+from pondtiller.standins.listening import StandIn, listen_on_loopback
+from pondtiller.standins.store import StandInStore
 
-ENGINES = "servers"
 NAMES = ("odd-0", "odd-1", "odd-2")
 
 
@@ -13,7 +14,7 @@
     """Answers nothing sound, and notes each call as a broken promise."""
 
     def __init__(self, promises: Promises, store: StandInStore) -> None:
-        super().__init__()
+        self.listener = listen_on_loopback()
         self._promises = promises
         self._store = store
 
@@ -32,13 +33,13 @@
         without_zone = {name: value for name, value in sound.items() if name != "zone"}
         odd = [{**sound, "slots": "64"}, without_zone, {**sound, "state": "resting"}]
         for name, spec in zip(NAMES, odd, strict=True):
-            self._store.put(ENGINES, name, spec)
+            self._store.put(names.ENGINES, name, spec)
 
     def withdraw(self) -> None:
         """Remove the entries."""
         for name in NAMES:
-            if name in self._store.kinds[ENGINES]:
-                self._store.remove(ENGINES, name)
+            if name in self._store.kinds[names.ENGINES]:
+                self._store.remove(names.ENGINES, name)
 
     async def _handle(self, exchange: Exchange) -> None:
         detail = f"{exchange.request.method} {exchange.request.path}"
--- a/src/pondtiller/gateway/tests/ending_engine.py
+++ b/src/pondtiller/standins/ending_engine.py
@@ -1,20 +1,28 @@
 """An engine that ends under some requests and starts again a moment later."""
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import curio
 
 from pondtiller.address import Address
-from pondtiller.gateway.tests.system import System
 from pondtiller.httpio.server import ConnectionLostError, Exchange, bind_tcp, serve_http
-from pondtiller.platform.standins import StandInEngine, StandInStore
+from pondtiller.platform import names
 from pondtiller.process import clock
 from pondtiller.process.spawner import Spawner
+from pondtiller.standins.engine import FIRST_START_MS, NEVER, StandInEngine
+from pondtiller.standins.store import StandInStore
 
 ENDING = b"ends what runs it"
+"""What the body of a request begins with under which an engine ends."""
 WORK_SECONDS = 0.02
+"""How long a request runs before the engine ends under it, in seconds."""
 DOWN_SECONDS = 0.3
-FIRST_START_MS = 1_700_000_000_000
+"""From an end until the next start, in seconds; chosen short, so that tests are."""
+
+
+def ends_engine(content: bytes) -> bool:
+    """Return whether an engine ends under a request with this body."""
+    return content.startswith(ENDING)
 
 
 class EndingRun(NamedTuple):
@@ -44,7 +52,7 @@
         self, identifier: str, service: str, store: StandInStore, keeps_name: bool = False
     ) -> None:
         super().__init__(identifier, service)
-        self.born = FIRST_START_MS
+        self.started_ms = FIRST_START_MS if keeps_name else None
         self.down_seconds = DOWN_SECONDS
         self.lingers_seconds = 0.0
         self._keeps_name = keeps_name
@@ -70,35 +78,28 @@
         self.listener = bind_tcp(address.host, address.port)
         self._over.clear()
         self._starts += 1
-        self.orders.clear()
-        if self._keeps_name:
-            self.born += 1000
-        else:
-            self._store.remove("servers", self.identifier)
+        self.begin_next_start()
+        if not self._keeps_name:
+            self._store.remove(names.ENGINES, self.identifier)
             self.identifier = f"{self._first_name}-{self._starts}"
-        self._store.put("servers", self.identifier, self.entry())
+        self._store.put(names.ENGINES, self.identifier, self.entry())
 
     async def whole(self, exchange: Exchange) -> None:
         """Answer, or end."""
         await self._end_under(exchange)
         await super().whole(exchange)
 
-    async def stream(self, exchange: Exchange, stop_after: int = 1_000_000) -> None:
+    async def stream(self, exchange: Exchange, stop_after: int = NEVER) -> None:
         """Stream, or end before the first event."""
         await self._end_under(exchange)
         await super().stream(exchange, stop_after)
 
-    def entry(self, state: str = "ready") -> dict[str, Any]:
-        """Return what it writes about itself, with the time of its start."""
-        own = {"born": self.born} if self._keeps_name else {}
-        return {**super().entry(state), **own}
-
     async def end(self) -> None:
         """End now, whatever it runs."""
         await self._over.set()
 
     async def _end_under(self, exchange: Exchange) -> None:
-        if exchange.request.body != ENDING:
+        if not ends_engine(exchange.request.body):
             return
         self.runs.append(EndingRun(self.identifier, clock.monotonic()))
         await curio.sleep(WORK_SECONDS)
@@ -111,27 +112,3 @@
     async def _end_later(self) -> None:
         await curio.sleep(self.lingers_seconds)
         await self._over.set()
-
-
-async def replace_engines(
-    system: System, service: str, count: int, keeps_name: bool = False
-) -> list[EndingEngine]:
-    """Put engines that end in place of a service's."""
-    for engine in (*system.app, *system.llm):
-        if engine.service == service:
-            system.store.remove("servers", engine.identifier)
-    engines = [
-        EndingEngine(f"x{number}", service, system.store, keeps_name) for number in range(count)
-    ]
-    for engine in engines:
-        if service == "llm":
-            engine.models = ["m"]
-        await system.group.spawn(engine.serve)
-        system.store.put("servers", engine.identifier, engine.entry())
-    names = {engine.identifier for engine in engines}
-    await system.until(
-        lambda: all(
-            each.engines.current(name) is not None for each in system.gateways for name in names
-        )
-    )
-    return engines
--- /dev/null
+++ b/src/pondtiller/standins/store.py
@@ -0,0 +1,156 @@
+"""A stand-in of the platform's object store, on a socket."""
+
+import json
+from typing import Any, NamedTuple
+
+import curio
+
+from pondtiller.httpio.messages import HttpResponse, json_response
+from pondtiller.httpio.server import ConnectionLostError, Exchange
+from pondtiller.platform import names
+from pondtiller.process import clock
+from pondtiller.standins.listening import StandIn, listen_on_loopback
+
+LOOK_SECONDS = 0.02
+"""How often a waiting watch looks for changes; chosen, not measured."""
+
+
+class StoredChange(NamedTuple):
+    """A change of an object.
+
+    Attributes
+    ----------
+    at
+        Revision of the store that the change made.
+    object
+        The object after the change; before it, where it is gone.
+    """
+
+    at: int
+    kind: str
+    object: dict[str, Any]
+    is_gone: bool
+
+
+class StandInStore(StandIn):
+    """The platform's object store: list, watch, create, replace, status, delete.
+
+    Attributes
+    ----------
+    kinds
+        Objects as they are on the wire, by kind and name.
+    history
+        All changes, oldest first.
+    oldest
+        Watches from before this revision are answered 410.
+    is_down
+        Whether it answers 503 to everything.
+    loses_answers
+        Whether it takes writes and ends the connection instead of answering.
+    page
+        Objects in one page of a listing, at most.
+    """
+
+    def __init__(self) -> None:
+        self.listener = listen_on_loopback()
+        self.revision = 1
+        self.kinds: dict[str, dict[str, dict[str, Any]]] = {}
+        self.history: list[StoredChange] = []
+        self.oldest = 0
+        self.is_down = False
+        self.loses_answers = False
+        self.page = 2
+        self.calls = 0
+
+    def put(self, kind: str, name: str, spec: Any) -> None:
+        """Write an object as the operator, a trainer or an engine does."""
+        self._store(kind, name, spec, None)
+
+    def remove(self, kind: str, name: str) -> None:
+        """Remove an object; watches are answered with its end."""
+        gone = self.kinds[kind].pop(name)
+        self.revision += 1
+        self.history.append(StoredChange(self.revision, kind, gone, True))
+
+    def forget_history(self) -> None:
+        """Answer watches from older revisions with 410 from now on."""
+        self.oldest = self.revision
+
+    def _store(self, kind: str, name: str, spec: Any, status: Any) -> dict[str, Any]:
+        self.revision += 1
+        found = {
+            "metadata": {"name": name, "revision": self.revision},
+            "spec": spec,
+            "status": status,
+        }
+        self.kinds.setdefault(kind, {})[name] = found
+        self.history.append(StoredChange(self.revision, kind, found, False))
+        return found
+
+    async def _handle(self, exchange: Exchange) -> None:
+        self.calls += 1
+        if self.is_down:
+            await exchange.respond(HttpResponse(503))
+            return
+        request = exchange.request
+        kind, _, name = request.path.removeprefix(names.OBJECTS_PATH).partition("/")
+        if request.method == "GET" and "watch" in request.query:
+            await self._watch(exchange, kind)
+        elif request.method == "GET":
+            await exchange.respond(
+                self._read(kind, name, request.query.get(names.FROM_POSITION, ""))
+            )
+        else:
+            answer = self._write(request.method, kind, name, json.loads(request.body or b"{}"))
+            if self.loses_answers:
+                raise ConnectionLostError("cut")
+            await exchange.respond(answer)
+
+    def _read(self, kind: str, name: str, after: str) -> HttpResponse:
+        objects = self.kinds.get(kind, {})
+        if name:
+            found = objects.get(name)
+            return json_response(200, found) if found else HttpResponse(404)
+        names = sorted(each for each in objects if each > after)
+        page = [objects[each] for each in names[: self.page]]
+        more = len(names) > self.page
+        return json_response(200, {"requests": page, "more": more, "at": self.revision})
+
+    async def _watch(self, exchange: Exchange, kind: str) -> None:
+        at = int(exchange.request.query["watch"])
+        # By the clock: in a busy process a number of short sleeps lasts far longer than their sum.
+        until = clock.monotonic() + int(exchange.request.query["wait_ms"]) / 1000.0
+        while True:
+            if self.is_down:
+                await exchange.respond(HttpResponse(503))
+                return
+            if at < self.oldest:
+                await exchange.respond(HttpResponse(410))
+                return
+            found = [each for each in self.history if each.at > at and each.kind == kind]
+            # What comes after this look is not in the answer, so its revision must not be either.
+            seen = self.revision
+            if found or clock.monotonic() >= until:
+                break
+            await curio.sleep(LOOK_SECONDS)
+        events = [{"object": each.object, "gone": each.is_gone} for each in found]
+        await exchange.respond(json_response(200, {"events": events, "at": seen}))
+
+    def _write(self, method: str, kind: str, name: str, body: dict[str, Any]) -> HttpResponse:
+        name, _, part = name.partition("/")
+        found = self.kinds.get(kind, {}).get(name)
+        if method == "POST":
+            if found is not None:
+                return json_response(409, found)
+            return json_response(201, self._store(kind, name, body["spec"], None))
+        if found is None:
+            return HttpResponse(404)
+        if method == "DELETE":
+            self.remove(kind, name)
+            return json_response(200, found)
+        wanted = body["metadata"].get("revision")
+        if wanted is not None and wanted != found["metadata"]["revision"]:
+            return json_response(409, found)
+        if part == "status":
+            return json_response(200, self._store(kind, name, found["spec"], body["status"]))
+        return json_response(200, self._store(kind, name, body["spec"], found["status"]))
--- a/tools/bench_ending_requests.py
+++ b/tools/bench_ending_requests.py
@@ -14,11 +14,12 @@
 
 import curio
 
-from pondtiller.gateway.tests import ending_engine
-from pondtiller.gateway.tests.ending_engine import ENDING, replace_engines
+from pondtiller.gateway.tests.ending_engines import replace_engines
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.process import clock
 from pondtiller.routes import quarantine
+from pondtiller.standins import ending_engine
+from pondtiller.standins.ending_engine import ENDING
 
 SECONDS = 12.0
 DOWN_SECONDS = 1.5
--- a/tools/bench_samples.py
+++ b/tools/bench_samples.py
@@ -31,16 +31,13 @@
 from pondtiller.gateway.process import GatewayProcess
 from pondtiller.httpio.client import HttpClient
 from pondtiller.links import frames, link
-from pondtiller.platform.standins import (
-    StandInEngine,
-    StandInStore,
-    configuration,
-    step_body,
-)
 from pondtiller.process import logs
 from pondtiller.process.spawner import Spawner
 from pondtiller.replica.process import ReplicaProcess
 from pondtiller.settings import GatewaySettings, ReplicaSettings
+from pondtiller.standins.documents import configuration, step_body
+from pondtiller.standins.engine import StandInEngine
+from pondtiller.standins.store import StandInStore
 
 ANY = "127.0.0.1:0"
 REPLICAS, RUNNERS, ENGINES = 5, 2, 12
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -34,6 +34,7 @@
     ("serve.emulator",),
     ("serve.simulation", "serve.daemon"),
     ("serve.demo",),
+    ("standins",),
     ("soak",),
     ("cli",),
 )
--- a/tools/check_platform_words.py
+++ b/tools/check_platform_words.py
@@ -1,4 +1,7 @@
-"""Checks that the platform's words stand nowhere in the product but in its own folder."""
+"""Checks that the platform's words stand nowhere in the product but in its own folder.
+
+Stand-ins play the platform, so they speak its words too.
+"""
 
 import re
 import sys
@@ -6,7 +9,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SOURCE = ROOT / "src" / "pondtiller"
-OWN = SOURCE / "platform"
+OWN = {SOURCE / "platform", SOURCE / "standins"}
 WORDS = (
     "Request-Deadline",
     "Expect-Instance",
@@ -49,7 +52,7 @@
     files = [
         path
         for path in sorted(SOURCE.rglob("*.py"))
-        if OWN not in path.parents and "tests" not in path.parts
+        if OWN.isdisjoint(path.parents) and "tests" not in path.parts
     ]
     problems = [problem for path in files for problem in problems_of(path)]
     print("\n".join(problems) or "platform words: ok")
