--- a/src/pondtiller/cli/soak.py
+++ b/src/pondtiller/cli/soak.py
@@ -9,8 +9,9 @@
 from result import Err
 
 from pondtiller.cli.common import EXIT_OK, EXIT_VIOLATION, bad_option, read_number
-from pondtiller.soak.faults import KINDS
-from pondtiller.soak.run import SoakReport, play
+from pondtiller.soak.fault_kinds import KINDS
+from pondtiller.soak.report import SoakReport
+from pondtiller.soak.run import play
 
 
 class SoakCommand(Command):
--- a/src/pondtiller/gateway/callers/request_routing.py
+++ b/src/pondtiller/gateway/callers/request_routing.py
@@ -38,7 +38,7 @@
     Reason.NO_COMMON_HOME: "the row and the tenant have no home in common",
     Reason.STEP_LEAVES_HOMES: "a step cannot be kept inside its homes",
 }
-"""What the log line and the caller are told of a refusal for the sake of homes."""
+"""What the log line and the answer say of a refusal for the sake of homes."""
 
 
 class Refusal(NamedTuple):
--- a/src/pondtiller/platform/mirror.py
+++ b/src/pondtiller/platform/mirror.py
@@ -37,7 +37,7 @@
 
 
 class MirroredChange(NamedTuple):
-    """A change, with the revision of the store up to which its answer told everything."""
+    """A change, with the store's revision up to which the answer that held it was complete."""
 
     at: int
     change: StoreChange
--- a/src/pondtiller/soak/caller_rules.py
+++ b/src/pondtiller/soak/caller_rules.py
@@ -7,10 +7,14 @@
 from pondtiller.soak.promises import Promises
 
 RATE = 6.0
+"""Requests a second of the tenant with a rate, which sends 10 a second: more than a third of them
+must be refused or wait. Chosen, not measured."""
 RATE_EXCESS = 0.1
+"""Part of the rate that gateways may admit beyond it; the programs' settings say the same."""
 MOST_IN_A_WINDOW = 6
 """Whole requests of the rate with its excess."""
 WINDOW_SECONDS = 1.0
+"""The rate is a number of requests in any second."""
 HOME_MARK = re.compile(rb"home=(\w+);")
 
 
--- a/src/pondtiller/soak/callers.py
+++ b/src/pondtiller/soak/callers.py
@@ -8,16 +8,22 @@
 from pondtiller.process.spawner import Spawner
 from pondtiller.soak.caller_rules import RateRule, home_mark
 from pondtiller.soak.calls import Calls
+from pondtiller.soak.places import NORTH, SOUTH
 from pondtiller.soak.promises import NOT_RUN, Promises
 from pondtiller.soak.stand_ins import SoakEngine
 from pondtiller.standins.ending_engine import ENDING
 
 CALL_SECONDS = 0.1
+"""Between two rounds of calls, in seconds. Chosen, not measured: shorter than the shortest fault
+(0.2 s), so that each fault meets calls."""
 RARE_CALL_EVERY = 4
+"""Rounds between two calls that have a home, and two without a key. Chosen, not measured: both are
+checked at each call, so a few a second are enough."""
 ENDING_CALL_EVERY = 8
+"""Rounds between two calls whose content ends engines: one in 0.8 s, while an engine that ended is
+back after 1 s, so that other callers find engines. Chosen, not measured."""
 ENDING_CALLS = 12
 """How often a content that ends engines comes before another one does: for 10 s."""
-NORTH, SOUTH = "north", "south"
 KEYS = {"rated": ["key-of-rated"], "homely": ["key-of-homely"]}
 
 
--- a/src/pondtiller/soak/calls.py
+++ b/src/pondtiller/soak/calls.py
@@ -6,6 +6,9 @@
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 
 CALL_LIMIT_SECONDS = 6.0
+"""Longest wait of a caller for its answer, in seconds: four times the time limit of live rows (1.5
+s) and longer than any fault (4 s), so that a frozen gateway may still answer. Chosen, not
+measured."""
 
 
 class Calls:
--- a/src/pondtiller/soak/ending_rules.py
+++ b/src/pondtiller/soak/ending_rules.py
@@ -7,7 +7,7 @@
 
 ENDS = 3
 """Ends under one content after which its further runs are counted."""
-TOLD_SECONDS = 3.0
+KNOWN_SECONDS = 3.0
 """From the last of these ends until whoever acts must know of them."""
 MOST_LATER = 3
 """Runs after that, of all programs that could know."""
@@ -49,11 +49,11 @@
         runs.append(run)
         if len(runs) <= ENDS:
             return
-        known_at = runs[ENDS - 1].at + TOLD_SECONDS
+        known_at = runs[ENDS - 1].at + KNOWN_SECONDS
         later = [
             each
             for each in runs[ENDS:]
-            if each.at > known_at and each.at > each.could_know_since + TOLD_SECONDS
+            if each.at > known_at and each.at > each.could_know_since + KNOWN_SECONDS
         ]
         if len(later) > MOST_LATER:
             detail = f"{content!r}: {len(later)} runs more, the last sent by {run.opener}"
--- a/src/pondtiller/soak/engine_rules.py
+++ b/src/pondtiller/soak/engine_rules.py
@@ -9,13 +9,20 @@
 PATH_SECONDS = 0.5
 """From the programs' last look until a request is at its engine, on a machine that is busy."""
 COLD_RATE = 4
+"""Requests a second that a cold engine bears, as the soak's configuration says. Chosen, not
+measured: its callers send more than this to an engine, so that the bound is reached."""
 COLD_EXCESS = 1.5
+"""Factor by which all gateways together may go beyond it; the programs' settings say the same."""
 COLD_SLACK = 2
+"""Requests that may come beyond that; the programs' settings say the same."""
 COLD_SECONDS = 8.0
+"""How long an engine is cold: more than twice the time after which all programs know of it (3.5 s),
+so that some seconds are checked. Chosen with it."""
 NEWS_SECONDS = 3.5
 """After which all programs know that an engine turned cold: the rest between two calls to the store
 (1.2 s), and the pause of one that found it down (1 s), with a margin."""
 WINDOW_SECONDS = 1.0
+"""The bound is a number of requests in any second."""
 
 
 class EngineRules:
--- a/src/pondtiller/soak/kept_callers.py
+++ b/src/pondtiller/soak/kept_callers.py
@@ -12,7 +12,10 @@
 from pondtiller.soak.promises import Promises
 
 PAUSE_SECONDS = 0.05
+"""Between an answer and the next request on the connection, in seconds. Chosen, not measured:
+short, so that a request is often on its way as its gateway stops."""
 DOWN_SECONDS = 0.3
+"""Between two attempts to connect to a gateway that is down, in seconds. Chosen, not measured."""
 HOST = "app.example"
 
 
--- a/src/pondtiller/soak/owners.py
+++ b/src/pondtiller/soak/owners.py
@@ -10,8 +10,11 @@
 from collections.abc import Callable, Mapping
 
 NETLINK_SOCK_DIAG = 4
+"""Netlink family of socket diagnostics (`linux/netlink.h`)."""
 SOCK_DIAG_BY_FAMILY = 20
+"""Type of a question about sockets of one address family (`linux/sock_diag.h`)."""
 NLM_F_REQUEST = 1
+"""Flag of a message that asks (`linux/netlink.h`)."""
 HEADER = struct.Struct("=LHHLL")
 """Of a netlink message: length, type, flags, sequence, sender."""
 REQUEST = struct.Struct("=BBBBL")
@@ -19,8 +22,11 @@
 CONNECTION = struct.Struct("!HH16s16sLQ")
 """Ports and addresses of both ends, the interface, a cookie: all ones where none is known."""
 NO_COOKIE = 2**64 - 1
+"""Both halves all ones: the socket is found by its addresses (`INET_DIAG_NOCOOKIE`)."""
 ALL_STATES = 0xFFFFFFFF
+"""A bit for each state of a connection: whichever it is in."""
 ANSWER_BYTES = 4096
+"""Read at once; the answer about one socket is some hundred bytes. A page of memory, chosen."""
 INODE_AT = HEADER.size + 68
 """After the head: 4 bytes, the connection of 48, then expiry, both queues, the user: 4 each."""
 LOOPBACK = socket.inet_aton("127.0.0.1")
--- a/src/pondtiller/soak/programs.py
+++ b/src/pondtiller/soak/programs.py
@@ -10,6 +10,7 @@
 from pondtiller.process import clock
 
 RUNNER = Path(__file__).resolve().parents[3] / "deploy" / "run.py"
+"""What starts a program on the users' machines; the soak starts it the same way."""
 
 
 class ProgramSpec(NamedTuple):
@@ -37,21 +38,21 @@
     Attributes
     ----------
     ends
-        Times that it ended without having been told to.
+        Times that it ended without a signal from the soak.
     kills
         Times that it was ended at once.
     started_at
         When it was started last, on the steady clock.
     acts_since
         When it went on after it was held up last, on the steady clock; infinite while it is.
-    in_touch_since
-        When it was last cut off from most others, the same.
+    connected_since
+        When it was last connected again after it had been cut off from most others, the same.
     """
 
     def __init__(self, spec: ProgramSpec, folder: Path) -> None:
         self.spec = spec
         self.ends = self.kills = 0
-        self.acts_since = self.in_touch_since = float("-inf")
+        self.acts_since = self.connected_since = float("-inf")
         self.started_at = float("-inf")
         self._folder = folder
         self._process: subprocess.Popen[bytes] | None = None
--- a/src/pondtiller/soak/promises.py
+++ b/src/pondtiller/soak/promises.py
@@ -82,7 +82,9 @@
             self.breach("a text is whole", f"{step}: {identifier}: {len(lines)} events")
         made_by = {int(line.rpartition("@")[2]) for line in lines}
         if made_by != set(result["versions"]):
-            self.breach("versions are named", f"{identifier}: {made_by}, told {result['versions']}")
+            self.breach(
+                "versions are named", f"{identifier}: {made_by}, listed {result['versions']}"
+            )
         if min(made_by) < self.oldest.get(step, 0):
             self.breach("no version is too old", f"{identifier}: {made_by}")
         if result.get("score") != f"sig-{identifier}-score":
--- a/src/pondtiller/soak/proxy.py
+++ b/src/pondtiller/soak/proxy.py
@@ -14,8 +14,13 @@
 from pondtiller.soak.owners import Owners
 
 READ_BYTES = 65_536
+"""Read at once, at most; each such piece is delayed on its own. Chosen, not measured."""
 POLL_SECONDS = 0.05
+"""How often a silent proxy looks whether it may go on, in seconds: what waits is late by this at
+most. Chosen, not measured."""
 END_LOOK_SECONDS = 0.01
+"""How often a proxy looks whether its engine has ended or is back, in seconds. Its port must refuse
+within a few of these, as the port of a process that ends does. Chosen, not measured."""
 HEALED_SECONDS = 1.0
 """For how long after a heal what had waited may still come."""
 
--- a/src/pondtiller/soak/sample_runs.py
+++ b/src/pondtiller/soak/sample_runs.py
@@ -7,8 +7,8 @@
 
 TWICE_SECONDS = 0.4
 """An engine may go on with a sample for less than this after another one has begun it, and while
-that one works; a gateway that is cut off from most others notices it later (1.0 s), and nobody can
-tell it sooner."""
+that one works; a gateway that is cut off from most others notices it later (1.0 s), and nothing
+can reach it sooner."""
 
 
 @dataclass(eq=False)
@@ -18,7 +18,7 @@
     Attributes
     ----------
     can_act_since
-        Returns since when the gateway that holds the run has run, is in touch with most others,
+        Returns since when the gateway that holds the run has run, is connected to most others,
         and reaches the engine; infinite while it does not. On the steady clock, in seconds.
     """
 
--- a/src/pondtiller/soak/stand_ins.py
+++ b/src/pondtiller/soak/stand_ins.py
@@ -23,9 +23,15 @@
 from pondtiller.standins.store import StandInStore
 
 ENDED_SECONDS = 1.0
+"""How long an engine is away that ended under a request, in seconds. Chosen, not measured: long
+enough that gateways see its port refuse."""
 ONCE_PATH = "/list/"
 WHOLE_SECONDS = 0.02
+"""How long a whole request runs, in seconds. Chosen, not measured: little beside the rows'
+objective of 200 ms."""
 SHORT_EVENT_SECONDS = 0.05
+"""Between two events of a short sample, in seconds: with 12 events it takes 0.6 s, less than most
+faults last. Chosen, not measured."""
 LONG_EVENT_SECONDS = 0.3
 """With 12 events a long sample is at work through a change of leader."""
 LONG_EVERY = 4
@@ -38,7 +44,7 @@
     Attributes
     ----------
     can_act_since
-        Returns since when the program of a name has run and been in touch, on the steady clock.
+        Returns since when the program of a name has run and been connected, on the steady clock.
     ending
         Takes runs of contents that end engines.
     could_know_since
@@ -61,7 +67,7 @@
     Attributes
     ----------
     refused
-        Requests that must not run: their callers were told so, or show no key.
+        Requests that must not run: their callers were answered so, or show no key.
     zone
         Where it stands.
     rules
--- a/src/pondtiller/soak/tests/test_ending_rules.py
+++ b/src/pondtiller/soak/tests/test_ending_rules.py
@@ -6,7 +6,13 @@
 from pondtiller.address import Address
 from pondtiller.httpio.client import HttpClient, NotSentError
 from pondtiller.httpio.server import bind_tcp
-from pondtiller.soak.ending_rules import MOST_LATER, TOLD_SECONDS, EndingRule, EndingRun, StoreReach
+from pondtiller.soak.ending_rules import (
+    KNOWN_SECONDS,
+    MOST_LATER,
+    EndingRule,
+    EndingRun,
+    StoreReach,
+)
 from pondtiller.soak.promises import Promises
 from pondtiller.soak.proxy import Proxy
 from pondtiller.soak.trap import NAMES, Trap
@@ -37,7 +43,7 @@
 
 def test_a_program_that_cannot_know_breaks_nothing() -> None:
     late = [10.0 + 0.1 * number for number in range(10)]
-    assert play([0.0, 0.1, 0.2, *late], 11.0 - TOLD_SECONDS).breaches == []
+    assert play([0.0, 0.1, 0.2, *late], 11.0 - KNOWN_SECONDS).breaches == []
 
 
 def test_a_program_reaches_the_store_since_it_last_did_not() -> None:
--- a/src/pondtiller/soak/tests/test_faults.py
+++ b/src/pondtiller/soak/tests/test_faults.py
@@ -4,7 +4,8 @@
 from pathlib import Path
 
 from pondtiller.address import to_address
-from pondtiller.soak.faults import KINDS, Faults
+from pondtiller.soak.fault_kinds import KINDS
+from pondtiller.soak.fault_targets import FaultTargets
 from pondtiller.soak.leader_log import LeaderLog
 from pondtiller.soak.programs import Program, ProgramSpec
 from pondtiller.soak.promises import Promises
@@ -18,8 +19,8 @@
 NEVER = float("-inf")
 
 
-def make_faults(folder: Path) -> Faults:
-    """Return faults of programs that do not run, in three zones of two regions."""
+def make_targets(folder: Path) -> FaultTargets:
+    """Return targets: programs that do not run, in three zones of two regions."""
     seen = Promises()
     platform = make_platform(seen, acts_since=0.0)
     store = platform.store
@@ -36,51 +37,51 @@
     links = {each.name: Proxy(TARGET) for each in specs}
     leader = LeaderLog({"g1": folder / "g1.log"})
     trap = Trap(seen, store)
-    return Faults(
+    return FaultTargets(
         random.Random(1), programs, apps, models, store, Proxy(TARGET), links, leader, trap
     )
 
 
-def silenced(faults: Faults) -> dict[str, set[str]]:
+def silenced(targets: FaultTargets) -> dict[str, set[str]]:
     """Return for whom each program's links, the store and each engine are silent."""
-    named = {**faults.links, "store": faults.store_proxy}
-    named |= {each.identifier: each.proxy for each in (*faults.apps, *faults.models)}
+    named = {**targets.links, "store": targets.store_proxy}
+    named |= {each.identifier: each.proxy for each in (*targets.apps, *targets.models)}
     return {name: proxy.silent_for for name, proxy in named.items() if proxy.silent_for}
 
 
 def test_a_cut_between_regions_silences_all_that_crosses_it_both_ways(tmp_path: Path) -> None:
-    faults = make_faults(tmp_path)
-    fault = KINDS["cut_region"](faults)
+    targets = make_targets(tmp_path)
+    fault = KINDS["cut_region"](targets)
     north, south = {"g2", "r2"}, {"g0", "g1", "r0", "r1"}
     expected = dict.fromkeys((*south, "store", "a0", "a1", "m0", "m1"), north)
     expected |= dict.fromkeys((*north, "a2", "m2"), south)
-    assert silenced(faults) == expected
-    cut_off = {each.spec.name for each in faults.programs if each.in_touch_since == float("inf")}
+    assert silenced(targets) == expected
+    cut_off = {each.spec.name for each in targets.programs if each.connected_since == float("inf")}
     assert cut_off == north
     fault.undo()
-    assert silenced(faults) == {}
-    assert all(each.in_touch_since < float("inf") for each in faults.programs)
+    assert silenced(targets) == {}
+    assert all(each.connected_since < float("inf") for each in targets.programs)
 
 
 def test_a_leader_that_is_cut_off_does_not_hear_the_replicas_and_hears_all_else(
     tmp_path: Path,
 ) -> None:
-    faults = make_faults(tmp_path)
+    targets = make_targets(tmp_path)
     (tmp_path / "g1.log").write_text("t=1.000 event=leader_won epoch=1\n")
-    faults.programs[1].is_running = lambda: True  # type: ignore[method-assign]
-    fault = KINDS["cut_leader"](faults)
-    assert fault.whom == "g1"
-    assert silenced(faults) == {"r0": {"g1"}, "r1": {"g1"}, "r2": {"g1"}}
+    targets.programs[1].is_running = lambda: True  # type: ignore[method-assign]
+    fault = KINDS["cut_leader"](targets)
+    assert fault.target == "g1"
+    assert silenced(targets) == {"r0": {"g1"}, "r1": {"g1"}, "r2": {"g1"}}
     fault.undo()
-    assert silenced(faults) == {}
+    assert silenced(targets) == {}
 
 
 def test_a_runner_that_is_cut_off_is_not_reached_by_the_leader_alone(tmp_path: Path) -> None:
-    faults = make_faults(tmp_path)
+    targets = make_targets(tmp_path)
     (tmp_path / "g1.log").write_text("t=1.000 event=leader_won epoch=1\n")
-    faults.programs[1].is_running = lambda: True  # type: ignore[method-assign]
-    fault = KINDS["cut_runner"](faults)
-    assert fault.whom in ("g0", "g2")
-    assert silenced(faults) == {fault.whom: {"g1"}}
+    targets.programs[1].is_running = lambda: True  # type: ignore[method-assign]
+    fault = KINDS["cut_runner"](targets)
+    assert fault.target in ("g0", "g2")
+    assert silenced(targets) == {fault.target: {"g1"}}
     fault.undo()
-    assert silenced(faults) == {}
+    assert silenced(targets) == {}
--- a/src/pondtiller/soak/trap.py
+++ b/src/pondtiller/soak/trap.py
@@ -8,6 +8,7 @@
 from pondtiller.standins.store import StandInStore
 
 NAMES = ("odd-0", "odd-1", "odd-2")
+"""Names of the entries, which logs of the programs show."""
 
 
 class Trap(StandIn):
@@ -31,8 +32,8 @@
             "sequence": 1,
         }
         without_zone = {name: value for name, value in sound.items() if name != "zone"}
-        odd = [{**sound, "slots": "64"}, without_zone, {**sound, "state": "resting"}]
-        for name, spec in zip(NAMES, odd, strict=True):
+        unreadable = [{**sound, "slots": "64"}, without_zone, {**sound, "state": "resting"}]
+        for name, spec in zip(NAMES, unreadable, strict=True):
             self._store.put(names.ENGINES, name, spec)
 
     def withdraw(self) -> None:
