--- a/src/pondtiller/gateway/callers/live_requests.py
+++ b/src/pondtiller/gateway/callers/live_requests.py
@@ -15,7 +15,7 @@
 from pondtiller.hashing import content_digest
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import Exchange
-from pondtiller.platform import engine_format
+from pondtiller.platform import headers
 from pondtiller.platform.requests import CallerRequest
 from pondtiller.process import clock, logs
 from pondtiller.process.run_until import run_until
@@ -70,8 +70,8 @@
             logs.decision("caller_left", request=forwarded.identifier, route=route.name)
         elif isinstance(answer, WholeAnswer):
             self._metrics.count(route.name, str(answer.status))
-            headers = engine_format.returned_headers(answer.headers)
-            await exchange.respond(HttpResponse(answer.status, answer.body, "", headers))
+            returned = headers.returned_headers(answer.headers)
+            await exchange.respond(HttpResponse(answer.status, answer.body, "", returned))
         else:
             await self._failures.answer(exchange, answer, route.name)
 
@@ -86,7 +86,7 @@
         identifier=request.identifier,
         method=request.method,
         target=request.request_target,
-        headers=engine_format.tenant_headers(request.headers, beginning.tenant),
+        headers=headers.tenant_headers(request.headers, beginning.tenant),
         body=request.body,
         content=_content(request, beginning.tenant),
         deadline=clock.monotonic() + seconds,
--- a/src/pondtiller/httpio/client.py
+++ b/src/pondtiller/httpio/client.py
@@ -1,4 +1,9 @@
-"""An HTTP/1.1 client with kept connections, whole and streamed answers."""
+"""An HTTP/1.1 client with kept connections, whole and streamed answers.
+
+Owns the connections that are kept, for as long as the process. It repeats nothing: whoever calls
+learns whether the request may have been received. Engines are reached through
+`gateway/engines/engine_pool.py`, which keeps connections by rules of its own.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,8 +16,14 @@
 from pondtiller.httpio.sockets import tune
 
 READ_BYTES = 65_536
+"""Read from a connection at once, at most, in bytes. Chosen, not measured: a whole answer of most
+calls comes in one read."""
 KEPT_CONNECTIONS = 32
+"""Connections to one address that are kept for later calls; it bounds open files only, since more
+than these may be used at once. Chosen, not measured."""
 CONNECT_SECONDS = 2.0
+"""Longest wait for a connection, in seconds; a call's own limit ends it earlier. Chosen, not
+measured: the system repeats a lost beginning after 1 s, so one loss is outlived."""
 
 
 class NotSentError(Exception):
--- a/src/pondtiller/httpio/server.py
+++ b/src/pondtiller/httpio/server.py
@@ -1,4 +1,8 @@
-"""An HTTP/1.1 server: one curio task a connection, bounds on sizes and on slow senders."""
+"""An HTTP/1.1 server: one curio task a connection, bounds on sizes and on slow senders.
+
+Owns a connection until it ends. Requests are read whole before they are handled; answers may be
+streamed. What a request means is decided by its handler.
+"""
 
 import errno
 import socket as plain_socket
@@ -14,13 +18,38 @@
 from pondtiller.process.spawner import Spawner
 
 MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
+"""Longest body that is read, in bytes; longer ones are refused before any of it is read where the
+length is announced. Chosen, not measured: it bounds the memory of one request."""
 MAXIMUM_HEAD_BYTES = 32 * 1024
+"""Longest head of a request, in bytes, the default of the configuration's limit as well. Chosen,
+not measured: it bounds the memory of a connection whose head never ends."""
 READ_BYTES = 65_536
+"""Read from a connection at once, at most, in bytes. Chosen, not measured."""
 IDLE_SECONDS = 75.0
+"""How long a connection may be idle between two requests, in seconds; the default of the
+configuration's limit as well. Chosen, not measured."""
 READ_SECONDS = 30.0
+"""Longest pause of a sender within a request, in seconds. Chosen, not measured: it frees
+connections whose senders are gone and bounds no sound sender."""
 WRITE_SECONDS = 30.0
+"""Longest wait until a receiver has taken a piece of an answer, in seconds. Chosen, not measured,
+like `READ_SECONDS`."""
 LINGER_SECONDS = 2.0
+"""How long what still comes after a refusal is read and dropped, in seconds. Without it the refusal
+of a body of 64 MB could be lost to the reset that closing with unread data causes. Chosen, not
+measured."""
 LINGER_READS = 64
+"""Reads within that time, at most: 4 MiB of `READ_BYTES` each, so that a sender that goes on costs
+little. Chosen, not measured."""
+BACKLOG = 1024
+"""Connections that the kernel holds until they are accepted. Chosen, not measured: a burst of
+callers that waits for a moment of this process is not refused."""
+ACCEPT_PAUSE_SECONDS = 0.05
+"""Pause before accepting again where the process has no file left, in seconds: it neither ends nor
+takes the loop for itself. Chosen, not measured."""
+CLOSE_LOOK_SECONDS = 1.0
+"""How often it is looked whether a caller has left that sent more than its request, in seconds: its
+connection stays readable, so waiting for it would take the loop. Chosen, not measured."""
 NOT_HTTP = "what was sent is no HTTP/1.1 request"
 
 
@@ -241,7 +270,7 @@
                 return
             if not peeked:
                 return
-            await curio.sleep(1.0)
+            await curio.sleep(CLOSE_LOOK_SECONDS)
 
 
 def _check_announced_length(head: h11.Request) -> None:
@@ -266,7 +295,7 @@
     listener = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_STREAM)
     listener.setsockopt(curio.socket.SOL_SOCKET, curio.socket.SO_REUSEADDR, 1)
     listener.bind((host, port))
-    listener.listen(1024)
+    listener.listen(BACKLOG)
     return listener
 
 
@@ -284,7 +313,7 @@
                 client, _ = await listener.accept()
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE):
-                    await curio.sleep(0.05)
+                    await curio.sleep(ACCEPT_PAUSE_SECONDS)
                     continue
                 raise
             client.setsockopt(plain_socket.IPPROTO_TCP, plain_socket.TCP_NODELAY, 1)
--- a/src/pondtiller/links/frames.py
+++ b/src/pondtiller/links/frames.py
@@ -1,6 +1,8 @@
 """Frames: length, kind of message, call number, message.
 
-Long messages are compressed: they are mostly texts, and bytes between zones are dear.
+Long messages are compressed: they are mostly texts, and bytes between zones are half of all prices
+of a quiet day. It owns the numbers of the kinds, which are part of the protocol. Connections are in
+`link.py`; what a message means is known to whoever takes it.
 """
 
 import zlib
@@ -13,10 +15,18 @@
 from pondtiller.wire import steplog
 
 HEAD_BYTES = 10
+"""Of a frame: length 4, kind 2, call 4, each big-endian."""
 LARGEST_FRAME = 256 * 1024 * 1024
+"""Longest message, compressed or not, in bytes; a longer one ends the link. Chosen, not measured:
+far above the longest that is sent, all values of a log in a takeover (11 MB in incident 12)."""
 REPLY_FLAG = 0x8000
+"""Bit of the kind that marks an answer; part of the protocol."""
 COMPRESSED_FLAG = 0x4000
+"""Bit of the kind that marks a compressed message; part of the protocol."""
 SMALLEST_COMPRESSED = 512
+"""Shortest message that is compressed, in bytes. Texts of random letters shrink to 0.66; shorter
+messages are mostly numbers, sent often, and gain little. The bound itself was chosen, not
+measured."""
 COMPRESSION_LEVEL = 1
 """The fastest: a page of results is compressed while others wait for the same thread."""
 
@@ -75,6 +85,9 @@
 )
 """What is sent again and again with the same content: read once, while it stays the same."""
 LONGEST_REPEATED_BYTES = 1024
+"""Longest such message that is kept for comparison, in bytes: one a kind and link. Reading the
+views of five members anew took 1.27 s of 1.93 s busy time of a gateway at rest in 30 s. The bound
+itself was chosen, not measured: views are shorter, and long messages rarely come twice."""
 
 
 class BadFrameError(Exception):
--- a/src/pondtiller/links/link.py
+++ b/src/pondtiller/links/link.py
@@ -1,4 +1,9 @@
-"""A link: one connection on which both sides may call and be called."""
+"""A link: one connection on which both sides may call and be called.
+
+Owns what waits to be sent and the calls that wait for an answer; both are lost with the connection.
+It does not connect again: whoever opened it does. Which side is silent for too long is decided by
+whoever listens to `heard`.
+"""
 
 import socket
 from collections import Counter
@@ -22,13 +27,23 @@
 from pondtiller.process.spawner import Spawner
 
 READ_BYTES = 262_144
+"""Read at once, at most, in bytes. Chosen, not measured: long messages come in few reads."""
 CONNECT_SECONDS = 0.6
 """40 ms between regions, 15 times that. The system repeats a lost beginning after 1 s, so a longer
 limit gains nothing; with the rest of 0.4 s before the next attempt at a replica, one that was cut
 off is reached within a second of the healing."""
 MOST_UNSENT_BYTES = 64 * 1024 * 1024
+"""Waiting bytes above which a link whose other side does not read is dropped. Chosen, not measured:
+several times the longest log seen in a takeover (11 MB, incident 12), and it bounds memory."""
 SEND_BYTES = 131_072
+"""Handed to the kernel at once, at most, in bytes. Handing over all that waits for each part that
+is taken cost its length squared: with 11 MB a takeover lasted 8 s (incident 12). The size itself
+was chosen, not measured."""
 COMPACT_BYTES = 4 * 1024 * 1024
+"""Sent bytes after which the rest is moved up, in bytes: moving it for each part cost the same as
+above. Chosen, not measured: memory that is kept needlessly, against the cost of moving."""
+ACCEPT_PAUSE_SECONDS = 0.05
+"""Pause before accepting again after a failure, in seconds. Chosen, not measured."""
 
 SENT_BYTES: Counter[str] = Counter()
 """Bytes that this process has sent on links, by type of message; for its metrics."""
@@ -220,7 +235,7 @@
             try:
                 stream, _ = await listener.accept()
             except OSError:
-                await curio.sleep(0.05)
+                await curio.sleep(ACCEPT_PAUSE_SECONDS)
                 continue
             tune(stream)
             await group.spawn(accepted, Link(stream))
--- /dev/null
+++ b/src/pondtiller/platform/engine_answers.py
@@ -0,0 +1,28 @@
+"""What the head of an engine's answer says."""
+
+from pondtiller.platform import names
+from pondtiller.platform.headers import Headers, header
+
+MISDIRECTED = 421
+"""Status of an engine that a request was not meant for: another start of it may be at its place."""
+
+
+def signature(headers: Headers) -> str | None:
+    """Return the engine's signature of an answer."""
+    return header(headers, names.SIGNATURE)
+
+
+def is_not_run(status: int, headers: Headers) -> bool:
+    """Return whether an engine's answer proves that it did not run the request."""
+    return status == MISDIRECTED or header(headers, names.NOT_RUN) is not None
+
+
+def names_request(headers: Headers, request: str) -> bool:
+    """Return whether an answer belongs to a request."""
+    return header(headers, names.REQUEST_ID) == request
+
+
+def answer_version(headers: Headers) -> int:
+    """Return the version of the weights with which an answer begins; 0 where none is named."""
+    text = header(headers, names.VERSIONS) or "0"
+    return int(text) if text.isdecimal() else 0
--- a/src/pondtiller/platform/engine_entries.py
+++ b/src/pondtiller/platform/engine_entries.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from pondtiller.platform.engine_format import address, is_whole, started_ms
+from pondtiller.platform.values import address, is_whole, started_ms
 from pondtiller.routes.engines import EngineEntry, EngineState
 
 STATES = {"ready": EngineState.READY, "draining": EngineState.LEAVING}
--- a/src/pondtiller/platform/mirror.py
+++ b/src/pondtiller/platform/mirror.py
@@ -20,7 +20,8 @@
 from pondtiller.wire.steplog import MirrorPage
 
 MOST_CHANGES = 512
-"""Changes that are kept for readers that come later; older ones list the kind anew."""
+"""Changes that are kept for readers that come later; readers from before them list the kind anew.
+Chosen, not measured."""
 
 
 class MirrorStatus(IntEnum):
--- a/src/pondtiller/platform/object_client.py
+++ b/src/pondtiller/platform/object_client.py
@@ -1,4 +1,9 @@
-"""Calls to the platform's object store."""
+"""Calls to the platform's object store.
+
+Owns how often each kind of call was made and which objects could not be read. It repeats no call
+and decides nothing by what it reads: watching with retries is in `store/store_watch.py`. Keys of
+callers that a configuration holds become digests here.
+"""
 
 import json
 from collections.abc import Iterable
@@ -15,9 +20,14 @@
 from pondtiller.process import logs
 
 CALL_SECONDS = 2.0
+"""Longest wait for an answer that the store does not hold back, in seconds. Chosen, not
+measured."""
 WATCH_MARGIN_SECONDS = 1.0
+"""How much longer than its own wait a watch may take, in seconds, for the way of its answer.
+Chosen, not measured."""
 MOST_UNREAD = 200
-"""Objects that are noted by name as not readable."""
+"""Objects that cannot be read and are logged by name, in the life of a process: it bounds memory
+and log lines. Chosen, not measured; the count goes on beyond it."""
 
 
 class StoreCallError(Exception):
@@ -158,7 +168,7 @@
                 yield StoreChange(found, bool(event.get("gone")))
 
     def _read_or_note(self, kind: str, given: Any) -> StoreObject | None:
-        """Read an object; count one that cannot be read, and note its name once."""
+        """Read an object; count one that cannot be read, and log its name once."""
         found = _object(kind, given)
         if found is not None:
             return found
--- a/src/pondtiller/platform/objects.py
+++ b/src/pondtiller/platform/objects.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pondtiller.platform.engine_format import address, is_whole
 from pondtiller.platform.object_client import StoreObject
+from pondtiller.platform.values import address, is_whole
 from pondtiller.routes.quarantine import Suspect
 from pondtiller.wire.steplog import Group, GroupMember
 
--- a/src/pondtiller/platform/operator_api.py
+++ b/src/pondtiller/platform/operator_api.py
@@ -1,4 +1,7 @@
-"""Calls to the operator's own interface that one daemon at a time makes."""
+"""Calls to the operator's own interface that one gateway at a time makes, the leader.
+
+Owns nothing. When to call and what to do about a failure is decided by the leader's duties.
+"""
 
 import json
 from collections.abc import Callable, Collection, Mapping
--- a/src/pondtiller/platform/requests.py
+++ b/src/pondtiller/platform/requests.py
@@ -11,7 +11,8 @@
 
 from pondtiller.httpio.messages import HttpRequest
 from pondtiller.platform import names
-from pondtiller.platform.engine_format import Headers, caller_seconds, key_digest, request_id
+from pondtiller.platform.headers import Headers, header
+from pondtiller.routes.tenants import digest_of
 
 
 class RequestTarget(Enum):
@@ -128,3 +129,23 @@
 def sample_name(received: HttpRequest) -> str:
     """Return the name of the sample whose body is wanted; empty where none is named."""
     return received.query.get("id") or ""
+
+
+def request_id(headers: Headers) -> str:
+    """Return a request's identifier, or empty text."""
+    return header(headers, names.REQUEST_ID) or ""
+
+
+def caller_seconds(headers: Headers) -> float | None:
+    """Return how long the caller waits, in seconds, or None where it does not say."""
+    text = header(headers, names.DEADLINE)
+    try:
+        return float(text) / 1000.0 if text is not None else None
+    except ValueError:
+        return None
+
+
+def key_digest(headers: Headers) -> str | None:
+    """Return the digest of the key that a caller shows; None where it shows none, or several."""
+    shown = [value for name, value in headers if name == names.CALLER_KEY]
+    return digest_of(shown[0]) if len(shown) == 1 and shown[0] else None
--- a/src/pondtiller/platform/step_format.py
+++ b/src/pondtiller/platform/step_format.py
@@ -7,7 +7,8 @@
 
 from result import Err, Ok, Result
 
-from pondtiller.platform.engine_format import CALLER_HEADERS, expected_tokens
+from pondtiller.platform import names
+from pondtiller.platform.headers import CALLER_HEADERS
 from pondtiller.rollouts.steps import add_sample
 from pondtiller.routes.tenants import owned_name
 from pondtiller.wire.steplog import Header, ResultsPage, Sample, SampleResult, Scorer, Step
@@ -56,6 +57,17 @@
     )
 
 
+def expected_tokens(sample: Sample) -> float:
+    """Return how many tokens a sample is expected to make: the hint, or the most allowed."""
+    given = {each.name.lower(): each.value for each in sample.headers}
+    for text in (given.get(names.LENGTH_HINT), (given.get(names.TOKENS) or "").rpartition(",")[2]):
+        try:
+            return float(text or "")
+        except ValueError:
+            continue
+    return float(sample.tokens)
+
+
 def _scorer(given: dict[str, Any]) -> Scorer:
     return Scorer(
         id=str(given["id"]),
--- a/src/pondtiller/platform/tests/test_engine_entries.py
+++ b/src/pondtiller/platform/tests/test_engine_entries.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pondtiller.platform import configuration, engine_entries, engine_format, objects
+from pondtiller.platform import configuration, engine_entries, engine_orders, objects
 from pondtiller.platform.object_client import StoreObject
 from pondtiller.routes.engines import EngineState
 
@@ -117,4 +117,4 @@
     objects.read_suspect(found)
     objects.is_retired(StoreObject("x", 3, None, value))
     configuration.route_table(value)
-    engine_format.engine_report(json.dumps(value, default=str).encode())
+    engine_orders.engine_report(json.dumps(value, default=str).encode())
--- a/src/pondtiller/platform/tests/test_formats.py
+++ b/src/pondtiller/platform/tests/test_formats.py
@@ -4,9 +4,9 @@
 
 from result import Err, Ok
 
-from pondtiller.platform import engine_entries, engine_format, step_format
+from pondtiller.platform import engine_entries, engine_orders, headers, step_format
 from pondtiller.platform.configuration import route_table
-from pondtiller.platform.engine_format import EventReader
+from pondtiller.platform.events import EventReader
 from pondtiller.platform.operator_api import scale_body
 from pondtiller.rollouts.scaling import ScaleOrder
 from pondtiller.rollouts.steps import sample_heads
@@ -66,7 +66,7 @@
     assert entry is not None and entry.state is EngineState.LEAVING
     for bad in (None, 3, {}, {"service": "s"}, {"service": "s", "address": "x"}):
         assert engine_entries.engine_entry("e", bad) is None
-    assert engine_format.engine_report(b"{]") is None
+    assert engine_orders.engine_report(b"{]") is None
 
 
 def test_an_engine_says_that_it_may_be_taken_away_and_when_it_leaves() -> None:
@@ -101,7 +101,7 @@
 
 def test_hop_headers_stay_and_own_ones_are_set() -> None:
     received = (("connection", "x"), ("request-id", "q"), ("request-deadline", "9"), ("a", "b"))
-    sent = engine_format.forwarded_headers(received, "e1", 0.25)
+    sent = headers.forwarded_headers(received, "e1", 0.25)
     assert sent == (
         ("request-id", "q"),
         ("a", "b"),
@@ -113,9 +113,9 @@
 def test_tokens_are_guessed_from_the_hint_or_the_most() -> None:
     most = Sample(headers=[Header("Token-Count", "10,400")])
     hinted = Sample(headers=[Header("Token-Count", "10,400"), Header("Length-Hint", "50")])
-    assert engine_format.expected_tokens(most) == 400.0
-    assert engine_format.expected_tokens(hinted) == 50.0
-    assert engine_format.expected_tokens(Sample(tokens=7)) == 7.0
+    assert step_format.expected_tokens(most) == 400.0
+    assert step_format.expected_tokens(hinted) == 50.0
+    assert step_format.expected_tokens(Sample(tokens=7)) == 7.0
 
 
 def test_a_submitted_step_is_read_and_bad_ones_refused() -> None:
--- a/src/pondtiller/routes/tests/test_engine_starts.py
+++ b/src/pondtiller/routes/tests/test_engine_starts.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from pondtiller.address import Address
-from pondtiller.platform.engine_format import engine_report, order_headers
+from pondtiller.platform.engine_orders import engine_report, order_headers
 from pondtiller.rollouts.sample_work import CancelReason, CancelRun, StartRun
 from pondtiller.rollouts.samples import SampleScheduler
 from pondtiller.rollouts.tests.scheduling import Bench
--- a/src/pondtiller/standins/engine.py
+++ b/src/pondtiller/standins/engine.py
@@ -9,7 +9,7 @@
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import ConnectionLostError, Exchange
 from pondtiller.platform import names
-from pondtiller.platform.engine_format import MISDIRECTED
+from pondtiller.platform.engine_answers import MISDIRECTED
 from pondtiller.standins.listening import StandIn, listen_on_loopback
 
 NEVER = 1_000_000
