--- a/src/pondtiller/platform/configuration.py
+++ b/src/pondtiller/platform/configuration.py
@@ -1,4 +1,9 @@
-"""The operator's configuration object as a route table."""
+"""The operator's configuration object as a route table.
+
+Owns nothing and decides nothing: which of two tables is in force is decided in
+`gateway/watches.py`. Keys of tenants become digests before anything else sees the object
+(`without_keys`).
+"""
 
 from typing import Any
 
@@ -19,11 +24,31 @@
 KEY_DIGESTS = "key_digests"
 """Field of our own that stands for the keys of a tenant from the moment of reading."""
 
+TIME_LIMIT_MS = 10_000.0
+"""Of a row that gives none. Chosen, not measured; the operator's configuration names it for each
+row."""
+OBJECTIVE_MS = 1_000.0
+"""Of a row that gives none, the same."""
+STEP_MS = 60_000.0
+"""Of a row that gives none, the same: until the results of a step are due."""
+QUEUE_SECONDS = 120.0
+"""Of a row that gives none, the same: after which a sample may be given up. In s, not in ms."""
+MOST_CONNECTIONS = 100
+"""Of a service that gives none, the same: connections that one engine accepts."""
+HEAD_BYTES = 32_768
+"""Of a configuration that gives none, the same: longest head of a request, in bytes."""
+BODY_BYTES = 32 * 1024 * 1024
+"""Of a configuration that gives none, the same: longest body of a request, in bytes."""
+HEAD_MS = 10_000.0
+"""Of a configuration that gives none, the same: longest time for the head of a request."""
+IDLE_MS = 75_000.0
+"""Of a configuration that gives none, the same: longest time between two requests."""
+
 KINDS = {
     "safe": RequestKind.SAFE,
-    "unsafe": RequestKind.UNSAFE,
+    "unsafe": RequestKind.UNSAFE,  # must not run twice
     "stream": RequestKind.STREAM,
-    "batch": RequestKind.STEP,
+    "batch": RequestKind.STEP,  # two names for one kind
     "rollout": RequestKind.STEP,
 }
 
@@ -51,15 +76,15 @@
         path_prefix=given["path_prefix"],
         kind=KINDS[given["kind"]],
         shares=_shares(given),
-        time_limit_seconds=_seconds(given, "timeout_ms", 10_000),
-        objective_seconds=_seconds(given, "slo_ms", 1_000),
+        time_limit_seconds=_seconds(given, "timeout_ms", TIME_LIMIT_MS),
+        objective_seconds=_seconds(given, "slo_ms", OBJECTIVE_MS),
         attempts=int(given.get("max_attempts") or 1),
         priority=int(given.get("priority") or 0),
         may_resume=bool(given.get("resumable")),
         is_sticky=bool(given.get("sticky")),
         single_version=bool(given.get("single_version")),
-        step_seconds=_seconds(given, "run_deadline_ms", 60_000),
-        queue_seconds=float(given.get("queue_ttl_s") or 120.0),
+        step_seconds=_seconds(given, "run_deadline_ms", STEP_MS),
+        queue_seconds=float(given.get("queue_ttl_s") or QUEUE_SECONDS),
         is_public=bool(given.get("public")),
         homes=_homes(given),
     )
@@ -118,7 +143,7 @@
     return ServiceRow(
         name=given["name"],
         health_path=given.get("health_path") or "",
-        most_connections=int(given.get("max_conns") or 100),
+        most_connections=int(given.get("max_conns") or MOST_CONNECTIONS),
         models=tuple(each["name"] for each in engine.get("models") or ()),
         cold_seconds=float(given.get("cold_start_s") or 0.0),
         cold_rate=float(given.get("cold_per_s") or 0.0),
@@ -146,8 +171,8 @@
 
 def _limits(given: dict[str, Any]) -> RequestLimits:
     return RequestLimits(
-        head_bytes=int(given.get("max_header_bytes") or 32_768),
-        body_bytes=int(given.get("max_body_bytes") or 32 * 1024 * 1024),
-        head_seconds=_seconds(given, "header_timeout_ms", 10_000),
-        idle_seconds=_seconds(given, "idle_timeout_ms", 75_000),
+        head_bytes=int(given.get("max_header_bytes") or HEAD_BYTES),
+        body_bytes=int(given.get("max_body_bytes") or BODY_BYTES),
+        head_seconds=_seconds(given, "header_timeout_ms", HEAD_MS),
+        idle_seconds=_seconds(given, "idle_timeout_ms", IDLE_MS),
     )
