--- /dev/null
+++ b/src/pondtiller/rollouts/run_table.py
@@ -0,0 +1,127 @@
+"""Runs that are under way at engines, and cancelled ones that may still be. No I/O.
+
+Owns their numbers, places and ends, for one term of a leader. Relies on `placement.py`, which
+counts them by engine and group. Decides nothing: the scheduler says what begins and what stops.
+"""
+
+from pondtiller.rollouts.placement import Placement
+from pondtiller.rollouts.sample_work import (
+    NO_RUN,
+    CancelReason,
+    CancelRun,
+    RunEnd,
+    RunName,
+    SampleWork,
+    Stage,
+    StartRun,
+)
+from pondtiller.routes.engines import Engine, EngineDirectory
+
+
+class RunTable:
+    """Knows which run makes which sample.
+
+    Attributes
+    ----------
+    runs
+        Samples by the number of their run, those whose engines work.
+    """
+
+    def __init__(self, engines: EngineDirectory, placement: Placement) -> None:
+        self.runs: dict[int, SampleWork] = {}
+        self._engines = engines
+        self._placement = placement
+        self._ending: dict[int, str] = {}
+        self._last_run = 0
+
+    @property
+    def ending(self) -> set[str]:
+        """Samples, as their texts are kept, at which an engine may still work though cancelled."""
+        return set(self._ending.values())
+
+    def begin(
+        self, work: SampleWork, engine: Engine, now: float, runner: str = "", held: RunName = NO_RUN
+    ) -> StartRun:
+        """Begin a run, or take one over that goes on at its runner."""
+        self._last_run += 1
+        work.run = self._last_run
+        work.engine = engine.identifier
+        work.stage = Stage.RUNNING
+        work.run_started = work.last_heard = now
+        work.checked_at = 0.0
+        work.run_events = 0
+        work.is_taken_over = held != NO_RUN
+        engine.running += 1
+        self.runs[work.run] = work
+        self._placement.began(work)
+        return StartRun(
+            work.run,
+            work.sample,
+            work.step.step.host,
+            work.route,
+            engine.identifier,
+            work.text.last_event,
+            work.stays_with,
+            work.step.step.tenant,
+            work.text.made_by,
+            runner,
+            held,
+        )
+
+    def cancel(self, work: SampleWork, reason: CancelReason) -> CancelRun | None:
+        """End a sample's run before its engine does; None where it has none."""
+        if self.runs.pop(work.run, None) is None:
+            return None
+        self._ending[work.run] = work.kept_as
+        self._free_place(work)
+        return CancelRun(work.run, work.sample_id, work.engine, reason)
+
+    def end(self, run: int, end: RunEnd, now: float) -> SampleWork | None:
+        """Take the end of a run; return its sample, None where it was cancelled before."""
+        self.is_over(run)
+        work = self.runs.pop(run, None)
+        if work is None:
+            return None
+        engine = self._free_place(work)
+        if engine is not None:
+            _note_end(engine, end, now)
+        return work
+
+    def is_over(self, run: int) -> None:
+        """Take that no engine works on a cancelled run any more."""
+        self._ending.pop(run, None)
+
+    def checked(self, runs: list[int], now: float) -> None:
+        """Take that all events of these runs are known until now."""
+        for run in runs:
+            work = self.runs.get(run)
+            if work is not None:
+                work.checked_at = now
+
+    def note_stall(self, now: float) -> None:
+        """Count no run's silence until now."""
+        for work in self.runs.values():
+            work.last_heard = now
+
+    def abandon(self) -> None:
+        """Free all places: another leader goes on with the samples."""
+        for work in self.runs.values():
+            self._free_place(work)
+        self.runs.clear()
+
+    def _free_place(self, work: SampleWork) -> Engine | None:
+        """Give a run's place back; return its engine where it is still known."""
+        self._placement.ended(work)
+        engine = self._engines.engines.get(work.engine)
+        if engine is not None:
+            engine.end_work()
+        return engine
+
+
+def _note_end(engine: Engine, end: RunEnd, now: float) -> None:
+    if end is RunEnd.BROKEN:
+        engine.note_failure(now)
+    elif end is RunEnd.REFUSED:
+        engine.note_refusal(now)
+    elif end is RunEnd.WHOLE:
+        engine.note_success()
--- a/src/pondtiller/rollouts/sample_work.py
+++ b/src/pondtiller/rollouts/sample_work.py
@@ -4,6 +4,7 @@
 from enum import Enum, StrEnum
 from typing import NamedTuple
 
+from pondtiller.rollouts.start_order import FIRST_OF_ALL, StartOrder
 from pondtiller.rollouts.steps import SampleHead, StepRecord
 from pondtiller.routes.quarantine import sample_content
 from pondtiller.routes.table import RouteRow
@@ -44,7 +45,7 @@
     LOST = "lost"
 
 
-class CancelReason(Enum):
+class CancelReason(StrEnum):
     """Why a run is ended before its engine does."""
 
     SILENT = "silent"
@@ -54,6 +55,15 @@
     GIVEN_UP = "given_up"
 
 
+class GiveUpReason(StrEnum):
+    """Why a sample is given up."""
+
+    LATE = "late"
+    IMPOSSIBLE = "impossible"
+    RUNS_FAILED = "runs_failed"
+    SCORER_FAILED = "scorer_failed"
+
+
 class RunName(NamedTuple):
     """A run among those of all leaders: the leader's epoch, and the number that it gave."""
 
@@ -145,10 +155,17 @@
 
 
 class ListResult(NamedTuple):
-    """Give a sample's result its position."""
+    """Give a sample's result its position.
+
+    Attributes
+    ----------
+    given_up
+        Why it was given up; None where it succeeded.
+    """
 
     step: str
     result: SampleResult
+    given_up: GiveUpReason | None = None
 
 
 Instruction = StartRun | CancelRun | ScoreText | ListResult
@@ -203,6 +220,19 @@
         The same against the mean of the step's samples.
     kept_as
         Name under which its unfinished text is kept: two tenants may use the same identifier.
+    order
+        Where it stands among the samples that wait.
+    run, engine, run_started, run_events
+        Its run, its engine, when it began, and how many events it made; of the last run where
+        none is under way. Times are in seconds of the steady clock.
+    last_heard
+        When the run's last event came, or the run began.
+    moves
+        How often it was moved for silence or slowness.
+    late_at
+        When it is given up for its age, in seconds of the time of day.
+    is_routed
+        Whether a row in force serves its step.
     group, model, oldest_version, accepted_at
         Copies of the sample's and the step's own: a message's fields are slow to read, and
         these are looked at in every tick.
@@ -224,7 +254,7 @@
     sample: SampleHead
     cost: float
     size: float = 1.0
-    order: tuple[float, ...] = ()
+    order: StartOrder = FIRST_OF_ALL
     stage: Stage = Stage.WAITING
     text: Text = field(default_factory=Text)
     run: int = 0
@@ -236,6 +266,7 @@
     moves: int = 0
     attempts_failed: int = 0
     score_failures: int = 0
+    late_at: float = float("inf")
     is_routed: bool = True
     left: dict[str, float] = field(default_factory=dict)
     is_taken_over: bool = False
--- a/src/pondtiller/rollouts/tests/test_catching_up.py
+++ b/src/pondtiller/rollouts/tests/test_catching_up.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pondtiller.rollouts import samples
+from pondtiller.rollouts import start_order
 from pondtiller.rollouts.sample_work import RunEnd, StartRun
 from pondtiller.rollouts.samples import SampleScheduler
 from pondtiller.rollouts.steps import StepBook, add_sample
@@ -80,7 +80,7 @@
 ) -> None:
     """What the head start is for: the same load without it."""
     with_it = catch_up().whole_at
-    monkeypatch.setattr(samples, "LONG_HEAD_START_SECONDS", 0.0)
+    monkeypatch.setattr(start_order, "LONG_HEAD_START_SECONDS", 0.0)
     without = catch_up().whole_at
     assert without["third"] > with_it["third"] + 1.0
     assert with_it["first"] < without["first"] + 1.0
--- a/src/pondtiller/rollouts/tests/test_shedding.py
+++ b/src/pondtiller/rollouts/tests/test_shedding.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, replace
 
-from pondtiller.rollouts import samples as samples_module
+from pondtiller.rollouts import turns as turns_module
 from pondtiller.rollouts.sample_work import ListResult, RunEnd, ScoreEnd, ScoreText, StartRun
 from pondtiller.rollouts.samples import SampleScheduler
 from pondtiller.rollouts.shedding import (
@@ -159,7 +159,7 @@
 def test_trainers_that_ask_for_too_much_get_more_groups_in_time(monkeypatch) -> None:
     with_shedding = Trainers()
     with_shedding.play(40.0)
-    monkeypatch.setattr(samples_module, "group_turns", lambda *_: ())
+    monkeypatch.setattr(turns_module, "group_turns", lambda *_: ())
     without = Trainers()
     without.play(40.0)
     assert sum(with_shedding.in_time.values()) > 2 * sum(without.in_time.values())
