--- a/src/pondtiller/rollouts/placement.py
+++ b/src/pondtiller/rollouts/placement.py
@@ -1,63 +1,28 @@
 """Which engine takes a sample next. No I/O.
 
+An engine takes a sample where it has room, weights that may make the rest of it, and is in its
+homes; of those the cheapest place is taken (`place_cost.py`). Each engine that the sample's runs
+left just now is passed over while others could take it.
+
 What a choice needs of a service (its usable engines, which of them have room, the usual pace)
 is worked out once a tick, and runs are counted by engine and group as they begin and end. So
 a tick costs one look at each engine, and for each sample the engines that are compared for it
 (`candidates.py`) and those that run samples of its group.
+
+Owns the views of services, for one tick, and the counts of runs, for one term of a leader. Does not
+begin runs, and does not say when one moves (`moving.py`).
 """
 
-import math
-from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
 
-from pondtiller.coordination.rate_shares import SlidingCount
 from pondtiller.rollouts.candidates import Candidates
+from pondtiller.rollouts.cold_starts import ColdStarts
+from pondtiller.rollouts.group_runs import GroupRuns
+from pondtiller.rollouts.place_cost import PlaceCosts
 from pondtiller.rollouts.sample_work import SampleWork
+from pondtiller.rollouts.service_view import ServiceView, sample_need
 from pondtiller.routes.cold import ColdEngines
 from pondtiller.routes.engines import Engine, EngineDirectory, usual_pace
-from pondtiller.routes.places import Distance
-
-GROUP_BONUS = 0.4
-SLOWNESS_COST = 1.5
-REGION_COST = 0.25
-"""An engine in another region than the leader's, against a full one. Load: the events of its
-samples, some kilobytes each, cross to the leader; they wait 20 ms, which a sample does not feel.
-So the near engines take a quarter of their places more, and all are used when there is work."""
-LONGEST_SIZE = 3.0
-"""Sizes of samples, against their step's mean, above which a slow engine costs no more."""
-
-Need = tuple[str, str, int, int | None, frozenset[str]]
-"""Service, model, oldest version, the version that a begun text must stay with, and homes."""
-
-
-@dataclass
-class ServiceView:
-    """A service as it is during one tick.
-
-    Attributes
-    ----------
-    usable
-        Engines that may get new work.
-    with_room
-        Those of them that have a free slot and are not paused, by identifier; shrinks as samples
-        start.
-    pace
-        Usual time between two events of a stream, in seconds; 0 while unknown.
-    candidates
-        Engines with room by what a sample needs.
-    reserved
-        Places promised to runs that move here in this tick, by engine.
-    by_pace
-        The engines with room, the fastest first; None until somebody asks.
-    """
-
-    usable: list[Engine]
-    with_room: dict[str, Engine]
-    pace: float
-    candidates: dict[Need, Candidates] = field(default_factory=dict)
-    reserved: Counter[str] = field(default_factory=Counter)
-    by_pace: list[Engine] | None = None
 
 
 class Placement:
@@ -74,8 +39,8 @@
 
     Attributes
     ----------
-    cold_from
-        Before this time no sample is ordered at a cold engine: no runner can hold a share of it.
+    views
+        Services by name, as they are in this tick.
     """
 
     def __init__(
@@ -85,15 +50,21 @@
         zone: str = "",
         cold: ColdEngines | None = None,
     ) -> None:
-        self._zone = zone
         self.engines = engines
-        self._cold = cold
-        self.cold_from = -math.inf
-        self._cold_starts: dict[str, SlidingCount] = {}
         self.is_loading = is_loading
-        self.groups: dict[str, Counter[str]] = {}
-        self.by_group: dict[str, Counter[str]] = {}
         self.views: dict[str, ServiceView] = {}
+        self._costs = PlaceCosts(engines.places, zone)
+        self._groups = GroupRuns()
+        self._cold_starts = ColdStarts(cold)
+
+    @property
+    def cold_from(self) -> float:
+        """Before this time no sample is ordered at a cold engine, in seconds."""
+        return self._cold_starts.not_before
+
+    @cold_from.setter
+    def cold_from(self, at: float) -> None:
+        self._cold_starts.not_before = at
 
     def begin_tick(self) -> None:
         """Look at all services anew."""
@@ -101,9 +72,10 @@
 
     def began(self, work: SampleWork) -> None:
         """Count a run; its engine has one place less."""
-        self.groups.setdefault(work.engine, Counter())[work.group] += 1
-        self.by_group.setdefault(work.group, Counter())[work.engine] += 1
-        self._count_cold_start(work)
+        self._groups.began(work.engine, work.group)
+        known = self.engines.engines.get(work.engine)
+        if known is not None:
+            self._cold_starts.began(known, work.run_started)
         view = self.views.get(work.service)
         engine = view.with_room.get(work.engine) if view is not None else None
         if view is None or engine is None:
@@ -114,20 +86,9 @@
         for candidates in view.candidates.values():
             candidates.filled(engine, is_full)
 
-    def _count_cold_start(self, work: SampleWork) -> None:
-        engine = self.engines.engines.get(work.engine)
-        if self._cold is None or engine is None:
-            return
-        if self._cold.is_cold(engine, work.run_started):
-            count = self._cold_starts.setdefault(work.engine, SlidingCount())
-            count.add(work.run_started)
-        else:
-            self._cold_starts.pop(work.engine, None)
-
     def ended(self, work: SampleWork) -> None:
         """Count the end of a run."""
-        _count_down(self.groups, work.engine, work.group)
-        _count_down(self.by_group, work.group, work.engine)
+        self._groups.ended(work.engine, work.group)
 
     def view(self, service: str, now: float) -> ServiceView:
         """Return a service as it is in this tick."""
@@ -176,11 +137,11 @@
         return engines
 
     def _candidates(self, view: ServiceView, work: SampleWork) -> Candidates:
-        need = _need(work.service, work)
+        need = sample_need(work.service, work)
         found = view.candidates.get(need)
         if found is None:
             suited = [each for each in view.with_room.values() if self.suits(each, work)]
-            found = Candidates(suited, lambda each: self._base_cost(each, view.pace))
+            found = Candidates(suited, lambda each: self._costs.base(each, view.pace))
             view.candidates[need] = found
         return found
 
@@ -190,7 +151,7 @@
         """Return the engines that run samples of the same group and are not compared yet."""
         if candidates.compares_all:
             return []
-        found = (view.with_room.get(each) for each in self.by_group.get(work.group, ()))
+        found = (view.with_room.get(each) for each in self._groups.engines_of(work.group))
         return [
             each
             for each in found
@@ -201,23 +162,7 @@
 
     def _has_room(self, engine: Engine, now: float) -> bool:
         """Return whether an engine has a free slot, and may get a sample where it is cold."""
-        return engine.running < engine.entry.slots and self._starts_left(engine, now) > 0
-
-    def _starts_left(self, engine: Engine, now: float) -> float:
-        """Return how many samples may start at an engine now; a cold one takes few in a second.
-
-        What a cold engine gets is bounded by the shares of those who send. This only keeps
-        samples from being ordered in vain.
-        """
-        if self._cold is None or not self._cold.is_cold(engine, now):
-            return math.inf
-        terms = self._cold.terms(engine.identifier)
-        if terms is None:
-            return math.inf
-        if now < self.cold_from:
-            return 0
-        count = self._cold_starts.get(engine.identifier)
-        return terms.most_each - (count.within(now) if count is not None else 0)
+        return engine.running < engine.entry.slots and self._cold_starts.left(engine, now) > 0
 
     def reserve_better(self, work: SampleWork, pace: float, factor: float, now: float) -> bool:
         """Reserve a place for a run on an engine that is `factor` times as fast as a pace.
@@ -282,38 +227,6 @@
         return version >= work.oldest_version
 
     def _cost(self, engine: Engine, work: SampleWork, pace: float) -> float:
-        """Return the cost of a place: a full engine, and a slow one the more a sample is long."""
-        cost = self._base_cost(engine, pace, min(work.size, LONGEST_SIZE))
-        shares_prompt = work.group in self.groups.get(engine.identifier, ())
-        return cost - (GROUP_BONUS if shares_prompt else 0.0)
-
-    def _base_cost(self, engine: Engine, pace: float, size: float = 1.0) -> float:
-        """Return what an engine costs a sample of a size whose group is nowhere."""
-        cost = _filling(engine)
-        cost += SLOWNESS_COST * max(0.0, _relative_pace(engine, pace) - 1.0) * size
-        distance = self.engines.places.distance(self._zone, engine.entry.zone)
-        return cost + (REGION_COST if distance is Distance.OTHER_REGION else 0.0)
-
-
-def _filling(engine: Engine) -> float:
-    return (engine.running + 1) / engine.entry.slots
-
-
-def _relative_pace(engine: Engine, pace: float) -> float:
-    return engine.event_seconds / pace if engine.event_seconds and pace else 1.0
-
-
-def _count_down(counts: dict[str, Counter[str]], name: str, part: str) -> None:
-    """Count one less; what nobody counts any more is forgotten."""
-    counter = counts.get(name)
-    if counter is None:
-        return
-    counter[part] -= 1
-    if counter[part] <= 0:
-        del counter[part]
-    if not counter:
-        del counts[name]
-
-
-def _need(service: str, work: SampleWork) -> Need:
-    return service, work.model, work.oldest_version, work.stays_with, work.route.homes
+        """Return what a place at an engine costs a sample."""
+        shares_prompt = work.group in self._groups.groups_at(engine.identifier)
+        return self._costs.of(engine, pace, work.size, shares_prompt)
