--- a/src/pondtiller/gateway/leader/leadership.py
+++ b/src/pondtiller/gateway/leader/leadership.py
@@ -12,7 +12,7 @@
 from pondtiller.links.frames import Encoded, encode_message
 from pondtiller.peers.replicas import LeaderPlace, ReplicaDirectory
 from pondtiller.process import clock, logs
-from pondtiller.rollouts.steps import keys_of_ended_steps
+from pondtiller.rollouts.step_keys import keys_of_ended_steps
 from pondtiller.routes.places import Distance
 from pondtiller.steplog.entry import Entry
 from pondtiller.steplog.fault_tolerance import USUAL_RULES, PlaceRules, shortfall
--- a/src/pondtiller/gateway/leader/term.py
+++ b/src/pondtiller/gateway/leader/term.py
@@ -39,7 +39,9 @@
     StartRun,
 )
 from pondtiller.rollouts.samples import SampleScheduler
-from pondtiller.rollouts.steps import STEP_PREFIX, StepBook, StepRecord, StepStatus
+from pondtiller.rollouts.step_keys import STEP_PREFIX
+from pondtiller.rollouts.step_record import StepRecord
+from pondtiller.rollouts.steps import StepBook, StepStatus
 from pondtiller.rollouts.versions import AskEngine, OrderVersion, VersionSteward
 from pondtiller.routes.cold import QUIET_SECONDS, ColdEngines
 from pondtiller.routes.engines import EngineDirectory
--- a/src/pondtiller/platform/step_format.py
+++ b/src/pondtiller/platform/step_format.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from pondtiller.platform.engine_format import CALLER_HEADERS, expected_tokens
-from pondtiller.rollouts.steps import add_sample
+from pondtiller.rollouts.step_record import add_sample
 from pondtiller.routes.tenants import owned_name
 from pondtiller.wire.steplog import Header, ResultsPage, Sample, SampleResult, Scorer, Step
 
--- a/src/pondtiller/platform/tests/test_formats.py
+++ b/src/pondtiller/platform/tests/test_formats.py
@@ -9,7 +9,7 @@
 from pondtiller.platform.engine_format import EventReader
 from pondtiller.platform.operator_api import scale_body
 from pondtiller.rollouts.scaling import ScaleOrder
-from pondtiller.rollouts.steps import sample_heads
+from pondtiller.rollouts.step_record import sample_heads
 from pondtiller.routes.engines import EngineState
 from pondtiller.routes.table import RequestKind
 from pondtiller.wire.steplog import Header, ResultsPage, Sample, SampleResult
--- a/src/pondtiller/rollouts/sample_work.py
+++ b/src/pondtiller/rollouts/sample_work.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from pondtiller.rollouts.start_order import FIRST_OF_ALL, StartOrder
-from pondtiller.rollouts.steps import SampleHead, StepRecord
+from pondtiller.rollouts.step_record import SampleHead, StepRecord
 from pondtiller.routes.quarantine import sample_content
 from pondtiller.routes.table import RouteRow
 from pondtiller.routes.tenants import owned_name
--- a/src/pondtiller/rollouts/samples.py
+++ b/src/pondtiller/rollouts/samples.py
@@ -34,7 +34,7 @@
 )
 from pondtiller.rollouts.shedding import GroupKey
 from pondtiller.rollouts.start_order import start_order
-from pondtiller.rollouts.steps import StepRecord
+from pondtiller.rollouts.step_record import StepRecord
 from pondtiller.rollouts.taking_over import OfferedSample, TakeOverRefusal, why_not_taken_over
 from pondtiller.rollouts.turns import GroupTurns
 from pondtiller.rollouts.unfinished_texts import UnfinishedTexts
--- /dev/null
+++ b/src/pondtiller/rollouts/step_keys.py
@@ -0,0 +1,78 @@
+"""Keys under which steps stand in the log: `step/S`, `result/S/POSITION`, `end/S`. No I/O.
+
+Owns the form of the keys, which is stored data. Values are read by `steps.py`.
+"""
+
+from collections.abc import Collection
+from enum import StrEnum
+from typing import NamedTuple
+
+
+class StepKeyKind(StrEnum):
+    """What a key's value is."""
+
+    STEP = "step"
+    RESULT = "result"
+    END = "end"
+
+
+STEP_PREFIX = f"{StepKeyKind.STEP}/"
+RESULT_PREFIX = f"{StepKeyKind.RESULT}/"
+END_PREFIX = f"{StepKeyKind.END}/"
+
+_RESTORE_ORDER = {StepKeyKind.STEP: 0, StepKeyKind.END: 1, StepKeyKind.RESULT: 2}
+
+
+class StepKey(NamedTuple):
+    """A key of the log that belongs to a step.
+
+    Attributes
+    ----------
+    text
+        The key as it stands in the log.
+    position
+        Of a result; 0 otherwise.
+    """
+
+    text: str
+    kind: StepKeyKind
+    step: str
+    position: int = 0
+
+
+def step_key(step: str) -> str:
+    """Return the key of a step's acceptance."""
+    return f"{STEP_PREFIX}{step}"
+
+
+def result_key(step: str, position: int) -> str:
+    """Return the key of a result."""
+    return f"{RESULT_PREFIX}{step}/{position:06d}"
+
+
+def end_key(step: str) -> str:
+    """Return the key of a step's end."""
+    return f"{END_PREFIX}{step}"
+
+
+def read_key(key: str) -> StepKey:
+    """Return what a key names; raises `ValueError` where it is no key of a step."""
+    name, _, rest = key.partition("/")
+    kind = StepKeyKind(name)
+    step, _, position = rest.partition("/")
+    return StepKey(key, kind, step, int(position) if kind is StepKeyKind.RESULT else 0)
+
+
+def restore_order(key: str) -> int:
+    """Return a sort key: steps first, then their ends, then results."""
+    return _RESTORE_ORDER[StepKeyKind(key.partition("/")[0])]
+
+
+def keys_of_ended_steps(keys: Collection[str]) -> set[str]:
+    """Return the keys of steps that have ended, and of their results: nobody works on them."""
+    ended = {key.removeprefix(END_PREFIX) for key in keys if key.startswith(END_PREFIX)}
+    return {
+        key
+        for key in keys
+        if key.startswith((STEP_PREFIX, RESULT_PREFIX)) and key.split("/")[1] in ended
+    }
--- a/src/pondtiller/rollouts/steps.py
+++ b/src/pondtiller/rollouts/steps.py
@@ -1,32 +1,39 @@
-"""Steps as the log keeps them: acceptance, results by position, ends. No I/O.
+"""The steps that the log holds: acceptance, results by position, ends. No I/O.
 
 What a step becomes is written to the step log before anyone is told. A result's position is
 final once it is written; readers see the positions up to the first that is not.
+
+Owns the steps of one leader's term (`step_record.py`) and the writes that they need; what lasts is
+in the log, under the keys of `step_keys.py`. Relies on its caller to write and to say what is on a
+quorum of disks. Does not run samples (`samples.py`).
 """
 
-from collections import Counter
-from collections.abc import Collection, Iterable, Iterator
-from dataclasses import dataclass, field
+from collections.abc import Iterable
+from dataclasses import dataclass
 from enum import IntEnum
-from functools import cached_property
-from typing import NamedTuple
 
+from pondtiller.rollouts.step_keys import (
+    STEP_PREFIX,
+    StepKey,
+    StepKeyKind,
+    end_key,
+    read_key,
+    restore_order,
+    result_key,
+    step_key,
+)
+from pondtiller.rollouts.step_record import StepRecord
 from pondtiller.routes.tenants import owned_name
 from pondtiller.steplog.entry import Entry
-from pondtiller.wire.steplog import (
-    ResultsPage,
-    Sample,
-    SampleBody,
-    SampleResult,
-    Step,
-)
+from pondtiller.wire.steplog import ResultsPage, SampleBody, SampleResult, Step
 
-STEP_PREFIX = "step/"
-RESULT_PREFIX = "result/"
-END_PREFIX = "end/"
 LARGEST_PAGE_BYTES = 900_000
+"""Bytes of results on one page. Chosen, not measured: bounds what one read takes of a leader and a
+link; a page holds one result at least, however large, so a small figure costs reads and no
+result."""
 RESULT_OVERHEAD_BYTES = 100
-RESTORE_ORDER = {"step": 0, "end": 1, "result": 2}
+"""Bytes that a result takes on a page besides its own: names, numbers, separators. Chosen, not
+measured: keeps a page of many small results from growing beyond its bound."""
 
 
 class StepStatus(IntEnum):
@@ -42,69 +49,11 @@
     UNCERTAIN = 4
 
 
-def step_key(step: str) -> str:
-    """Return the key of a step's acceptance."""
-    return f"{STEP_PREFIX}{step}"
-
-
-def result_key(step: str, position: int) -> str:
-    """Return the key of a result."""
-    return f"{RESULT_PREFIX}{step}/{position:06d}"
-
-
-def end_key(step: str) -> str:
-    """Return the key of a step's end."""
-    return f"{END_PREFIX}{step}"
-
-
 def result_size(encoded: bytes) -> int:
     """Return how many bytes a result takes on a page."""
     return len(encoded) + RESULT_OVERHEAD_BYTES
 
 
-class SampleHead(NamedTuple):
-    """What a leader needs of a sample.
-
-    Attributes
-    ----------
-    group
-        Samples with the same prompt, of which a trainer waits for all.
-    expected_tokens
-        How many tokens it is expected to make.
-    content
-        The encoded `Sample`; only who runs it reads it.
-    """
-
-    id: str
-    group: str
-    expected_tokens: float
-    content: bytes
-
-
-def add_sample(step: Step, sample: Sample, expected_tokens: float) -> None:
-    """Put a sample into a step, as a row of its columns."""
-    step.sample_ids.append(sample.id)
-    step.groups.append(sample.group)
-    step.expected_tokens.append(expected_tokens)
-    step.contents.append(bytes(sample))
-
-
-def sample_heads(step: Step) -> Iterator[SampleHead]:
-    """Return the samples of a step."""
-    columns = (step.sample_ids, step.groups, step.expected_tokens, step.contents)
-    return map(SampleHead._make, zip(*columns, strict=True))
-
-
-def keys_of_ended_steps(keys: Collection[str]) -> set[str]:
-    """Return the keys of steps that have ended, and of their results: nobody works on them."""
-    ended = {key.removeprefix(END_PREFIX) for key in keys if key.startswith(END_PREFIX)}
-    return {
-        key
-        for key in keys
-        if key.startswith((STEP_PREFIX, RESULT_PREFIX)) and key.split("/")[1] in ended
-    }
-
-
 @dataclass(frozen=True, slots=True)
 class Write:
     """A value that must go to the log."""
@@ -113,89 +62,6 @@
     value: bytes
 
 
-@dataclass
-class StepRecord:
-    """One step.
-
-    What a new leader finds in the log is read when somebody asks for it, so that taking over
-    does not grow with the steps that have ended.
-
-    Attributes
-    ----------
-    encoded
-        The step as it stands in the log; None until it is read.
-    unread
-        Positions whose results are in the log and not read yet.
-    results
-        Results by position, written or on their way.
-    written
-        Positions whose results are written.
-    visible
-        Positions that readers may see, from 0.
-    """
-
-    encoded: bytes | None
-    is_accepted: bool = False
-    is_ended: bool = False
-    is_end_written: bool = False
-    results: dict[int, bytes] = field(default_factory=dict)
-    written: set[int] = field(default_factory=set)
-    visible: int = 0
-    listed: set[str] = field(default_factory=set)
-    next_position: int = 0
-    unread: set[int] = field(default_factory=set)
-
-    @property
-    def is_read(self) -> bool:
-        """Whether all that the log holds of it is at hand."""
-        return self.encoded is not None and not self.unread
-
-    @cached_property
-    def step(self) -> Step:
-        """The step as it was submitted; raises `ValueError` before it is read."""
-        if self.encoded is None:
-            raise ValueError("the step is not read yet")
-        return Step().parse(self.encoded)
-
-    @cached_property
-    def samples(self) -> tuple[SampleHead, ...]:
-        """The samples in the order submitted."""
-        return tuple(sample_heads(self.step))
-
-    @cached_property
-    def group_sizes(self) -> Counter[str]:
-        """Samples of each group."""
-        return Counter(head.group for head in self.samples)
-
-    @property
-    def total(self) -> int:
-        """Number of samples."""
-        return len(self.samples)
-
-    @property
-    def is_complete(self) -> bool:
-        """Whether every sample is listed."""
-        return self.visible >= self.total
-
-    def sample(self, identifier: str) -> SampleHead | None:
-        """Return a sample by its identifier, or None where there is none."""
-        for head in self.samples:
-            if head.id == identifier:
-                return head
-        return None
-
-    def claim_position(self) -> int:
-        """Return the lowest free position."""
-        while self.next_position in self.results:
-            self.next_position += 1
-        return self.next_position
-
-    def advance(self) -> None:
-        """Show readers what is written without a gap."""
-        while self.visible in self.written:
-            self.visible += 1
-
-
 class StepBook:
     """All steps that the log holds.
 
@@ -222,61 +88,59 @@
         deferred
             Keys of ended steps and their results, whose values `load` takes later.
         """
-        later = sorted(deferred, key=lambda key: RESTORE_ORDER[key.partition("/")[0]])
+        later = [read_key(key) for key in sorted(deferred, key=restore_order)]
         for key in later:
-            if key.startswith(STEP_PREFIX):
-                self.steps[key.removeprefix(STEP_PREFIX)] = StepRecord(None, is_accepted=True)
+            if key.kind is StepKeyKind.STEP:
+                self.steps[key.text.removeprefix(STEP_PREFIX)] = StepRecord(None, is_accepted=True)
         unknown = self._restore(entries)
-        return unknown + [key for key in later if not self._restore_deferred(key)]
+        return unknown + [key.text for key in later if not self._restore_deferred(key)]
 
-    def _restore_deferred(self, key: str) -> bool:
-        kind, _, rest = key.partition("/")
-        if f"{kind}/" == STEP_PREFIX:
+    def _restore_deferred(self, key: StepKey) -> bool:
+        """Take a key whose value is read later; False where its step is not known."""
+        if key.kind is StepKeyKind.STEP:
             return True
-        identifier, _, position = rest.partition("/")
-        record = self.steps.get(identifier)
+        record = self.steps.get(key.step)
         if record is None:
             return False
-        record.unread.add(int(position))
-        record.written.add(int(position))
-        record.advance()
+        record.unread.add(key.position)
+        record.note_written(key.position)
         return True
 
     def load(self, entries: Iterable[Entry]) -> None:
         """Take values that were left for later."""
         for entry in entries:
-            kind, _, rest = entry.key.partition("/")
-            identifier, _, position = rest.partition("/")
-            record = self.steps.get(identifier)
+            key = read_key(entry.key)
+            record = self.steps.get(key.step)
             if record is None:
                 continue
-            if f"{kind}/" == STEP_PREFIX:
+            if key.kind is StepKeyKind.STEP:
                 record.encoded = entry.value
             else:
-                record.results[int(position)] = entry.value
-                record.unread.discard(int(position))
+                record.results[key.position] = entry.value
+                record.unread.discard(key.position)
 
     def _restore(self, entries: Iterable[Entry]) -> list[str]:
-        ordered = sorted(entries, key=lambda entry: RESTORE_ORDER[entry.key.partition("/")[0]])
+        ordered = sorted(entries, key=lambda entry: restore_order(entry.key))
         return [entry.key for entry in ordered if not self._restore_entry(entry)]
 
     def _restore_entry(self, entry: Entry) -> bool:
-        kind, _, rest = entry.key.partition("/")
-        if f"{kind}/" == STEP_PREFIX:
-            self.steps[rest] = StepRecord(entry.value, is_accepted=True)
+        """Take one entry; False where its step is not known."""
+        key = read_key(entry.key)
+        if key.kind is StepKeyKind.STEP:
+            self.steps[key.text.removeprefix(STEP_PREFIX)] = StepRecord(
+                entry.value, is_accepted=True
+            )
             return True
-        identifier, _, position = rest.partition("/")
-        record = self.steps.get(identifier)
+        record = self.steps.get(key.step)
         if record is None:
             return False
-        if f"{kind}/" == END_PREFIX:
+        if key.kind is StepKeyKind.END:
             record.is_ended = record.is_end_written = True
             return True
-        record.results[int(position)] = entry.value
+        record.results[key.position] = entry.value
         if not record.is_ended:
             record.listed.add(SampleResult().parse(entry.value).id)
-        record.written.add(int(position))
-        record.advance()
+        record.note_written(key.position)
         return True
 
     def open_samples(self) -> list[str]:
@@ -321,19 +185,17 @@
 
     def committed(self, key: str) -> str:
         """Take a write that is on a quorum of disks; return the step's identifier."""
-        kind, _, rest = key.partition("/")
-        identifier, _, position = rest.partition("/")
-        record = self.steps.get(identifier)
+        written = read_key(key)
+        record = self.steps.get(written.step)
         if record is None:
-            return identifier
-        if f"{kind}/" == STEP_PREFIX:
+            return written.step
+        if written.kind is StepKeyKind.STEP:
             record.is_accepted = True
-        elif f"{kind}/" == END_PREFIX:
+        elif written.kind is StepKeyKind.END:
             record.is_end_written = True
         else:
-            record.written.add(int(position))
-            record.advance()
-        return identifier
+            record.note_written(written.position)
+        return written.step
 
     def read(self, step: str, position: int) -> ResultsPage:
         """Return the results at `position` and on, about 1 MB at most."""
--- a/src/pondtiller/rollouts/tests/scheduling.py
+++ b/src/pondtiller/rollouts/tests/scheduling.py
@@ -2,7 +2,8 @@
 
 from pondtiller.address import Address
 from pondtiller.rollouts.samples import SampleScheduler
-from pondtiller.rollouts.steps import StepBook, StepRecord, add_sample
+from pondtiller.rollouts.step_record import StepRecord, add_sample
+from pondtiller.rollouts.steps import StepBook
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.table import RequestKind, RouteRow, ServiceShare
 from pondtiller.wire.steplog import Sample, Step
--- a/src/pondtiller/rollouts/tests/test_catching_up.py
+++ b/src/pondtiller/rollouts/tests/test_catching_up.py
@@ -5,7 +5,8 @@
 from pondtiller.rollouts import start_order
 from pondtiller.rollouts.sample_work import RunEnd, StartRun
 from pondtiller.rollouts.samples import SampleScheduler
-from pondtiller.rollouts.steps import StepBook, add_sample
+from pondtiller.rollouts.step_record import add_sample
+from pondtiller.rollouts.steps import StepBook
 from pondtiller.rollouts.tests.scheduling import ROUTE, entry
 from pondtiller.routes.engines import EngineDirectory
 from pondtiller.wire.steplog import Sample, Step
--- a/src/pondtiller/rollouts/tests/test_engine_need.py
+++ b/src/pondtiller/rollouts/tests/test_engine_need.py
@@ -13,7 +13,8 @@
     places_needed,
 )
 from pondtiller.rollouts.sample_work import SampleWork, Stage
-from pondtiller.rollouts.steps import StepBook, add_sample
+from pondtiller.rollouts.step_record import add_sample
+from pondtiller.rollouts.steps import StepBook
 from pondtiller.routes.table import RequestKind, RouteRow, ServiceShare
 from pondtiller.wire.steplog import Sample, Step
 
--- a/src/pondtiller/rollouts/tests/test_placement.py
+++ b/src/pondtiller/rollouts/tests/test_placement.py
@@ -1,7 +1,8 @@
 """Where a sample runs, by the distance of engines from the leader."""
 
 from pondtiller.rollouts.samples import SampleScheduler
-from pondtiller.rollouts.steps import StepBook, add_sample
+from pondtiller.rollouts.step_record import add_sample
+from pondtiller.rollouts.steps import StepBook
 from pondtiller.rollouts.tests.scheduling import ROUTE, entry
 from pondtiller.routes.engines import EngineDirectory
 from pondtiller.routes.places import Places
--- a/src/pondtiller/rollouts/tests/test_shedding.py
+++ b/src/pondtiller/rollouts/tests/test_shedding.py
@@ -12,7 +12,8 @@
     StepLoad,
     group_turns,
 )
-from pondtiller.rollouts.steps import StepBook, StepRecord, add_sample
+from pondtiller.rollouts.step_record import StepRecord, add_sample
+from pondtiller.rollouts.steps import StepBook
 from pondtiller.rollouts.tests.scheduling import ROUTE, entry
 from pondtiller.routes.engines import EngineDirectory
 from pondtiller.wire.steplog import Sample, Step
--- a/src/pondtiller/rollouts/tests/test_steps.py
+++ b/src/pondtiller/rollouts/tests/test_steps.py
@@ -1,14 +1,9 @@
 """Steps: taken once, positions final, shown only when written, restored as they were."""
 
 from pondtiller.links.frames import FrameReader, encode, encode_message
-from pondtiller.rollouts.steps import (
-    StepBook,
-    StepStatus,
-    add_sample,
-    keys_of_ended_steps,
-    result_key,
-    step_key,
-)
+from pondtiller.rollouts.step_keys import keys_of_ended_steps, result_key, step_key
+from pondtiller.rollouts.step_record import add_sample
+from pondtiller.rollouts.steps import StepBook, StepStatus
 from pondtiller.steplog.entry import Entry
 from pondtiller.wire.steplog import OpenStep, ResultsPage, Sample, SampleResult, Step
 
--- a/tools/bench_leader.py
+++ b/tools/bench_leader.py
@@ -11,7 +11,8 @@
 
 from pondtiller.address import Address
 from pondtiller.rollouts.samples import SampleScheduler
-from pondtiller.rollouts.steps import StepBook, add_sample
+from pondtiller.rollouts.step_record import add_sample
+from pondtiller.rollouts.steps import StepBook
 from pondtiller.rollouts.versions import OrderVersion, VersionSteward
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
 from pondtiller.routes.table import RequestKind, RouteRow, ServiceShare
--- a/tools/bench_steplog.py
+++ b/tools/bench_steplog.py
@@ -11,7 +11,8 @@
 
 from pondtiller.links.frames import FrameReader, encode, encode_message
 from pondtiller.replica.file import LogFile
-from pondtiller.rollouts.steps import StepBook, result_key, step_key
+from pondtiller.rollouts.step_keys import result_key, step_key
+from pondtiller.rollouts.steps import StepBook
 from pondtiller.steplog.instructions import Send, Won
 from pondtiller.steplog.leader import LeaderLog
 from pondtiller.steplog.replica import Replica
