--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -27,7 +27,7 @@
 from pondtiller.gateway.leader.term import DutyParts
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.gateway.pages.figure_sources import FigureSources
-from pondtiller.gateway.runs.held_runs import HeldRuns
+from pondtiller.gateway.runs.leaderless_runs import LeaderlessRuns
 from pondtiller.gateway.runs.run_host import RunHost
 from pondtiller.gateway.runs.sample_runner import SampleRunner
 from pondtiller.gateway.sockets import GatewaySockets
@@ -224,14 +224,14 @@
             cores=self.settings.processor.speed,
         )
 
-    def _make_held_runs(self) -> HeldRuns:
+    def _make_held_runs(self) -> LeaderlessRuns:
         replicas = self.leadership.replicas
 
         def leader_epoch() -> int | None:
             leader = self.leadership.leader()
             return leader.epoch if leader is not None else None
 
-        return HeldRuns(
+        return LeaderlessRuns(
             lambda: replicas.subscription,
             leader_epoch,
             replicas.hears_quorum,
--- a/src/pondtiller/gateway/runs/hosted_run.py
+++ b/src/pondtiller/gateway/runs/executed_run.py
@@ -1,7 +1,11 @@
-"""One run at a runner: its order, what its engine made, and who is told."""
+"""A run that this gateway executes: its order, what its engine made, and who is told.
+
+Owns what was made in this run, in memory alone; earlier events of the text are the leader's. Does
+not talk to the engine (`sample_runner.py`).
+"""
 
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Protocol
 
 from pondtiller.gateway.runs.sample_runner import RunOrder, RunOutcome, ScoreOutcome
 from pondtiller.rollouts.run_news import EndedRun, RunEvent, ScoredRun
@@ -21,8 +25,15 @@
         """Take what became of scoring a whole text."""
 
 
+class RunTask(Protocol):
+    """The task that carries a run out."""
+
+    async def cancel(self, *, blocking: bool) -> bool:
+        """End it; `blocking` waits until it has ended."""
+
+
 @dataclass
-class HostedRun:
+class ExecutedRun:
     """A run that goes on here, whoever leads.
 
     Attributes
@@ -39,6 +50,8 @@
         How the run ended, and what became of scoring its text; None before.
     is_dropped
         Whether nobody wants it any more.
+    task
+        Carries it out; None before it is spawned.
     """
 
     order: RunOrder
@@ -50,7 +63,7 @@
     outcome: RunOutcome | None = None
     score: ScoreOutcome | None = None
     is_dropped: bool = False
-    task: Any = None
+    task: RunTask | None = None
 
     @property
     def name(self) -> RunName:
--- /dev/null
+++ b/src/pondtiller/gateway/runs/leader_runs.py
@@ -0,0 +1,173 @@
+"""The runs that one leader has begun here over one link, and the news of them to it.
+
+Owns these runs while the link lasts, and the news that are gathered for it. When the link ends, or
+the leader has not been heard for `LEADER_SILENT_SECONDS`, the runs are left to `RunHost`: a
+successor may begin the same samples at other engines. Relies on `executed_run.py` for each run.
+"""
+
+from typing import Protocol
+
+import curio
+
+from pondtiller.address import Address
+from pondtiller.gateway.runs.executed_run import ExecutedRun, RunListener
+from pondtiller.gateway.runs.sample_runner import RunOrder
+from pondtiller.links.link import Link
+from pondtiller.process import clock
+from pondtiller.process.spawner import Spawner
+from pondtiller.rollouts.run_holding import LEADER_SILENT_SECONDS, LeaveReason, LostLeader
+from pondtiller.rollouts.run_news import EndedRun, NewsGatherer, RunEvent, ScoredRun
+from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName
+from pondtiller.wire.steplog import BeginRun
+
+NEWS_SECONDS = 0.25
+"""How long events are gathered, in seconds; texts are saved every 0.5 s, so no more often than that
+helps."""
+
+
+class RunStarter(Protocol):
+    """What starts runs here, and has those that no leader has."""
+
+    async def start(self, order: RunOrder, listener: RunListener, epoch: int) -> ExecutedRun:
+        """Begin a run at its engine."""
+
+    def take_held(self, order: RunOrder) -> ExecutedRun | None:
+        """Return the run of an order's sample that no leader has; it has one now."""
+
+    async def leave(self, runs: list[ExecutedRun], lost: LostLeader, reason: LeaveReason) -> None:
+        """Keep runs whose leader is lost, or end them."""
+
+
+class LeaderRuns:
+    """The runs that one leader's link has begun here.
+
+    Attributes
+    ----------
+    runs
+        By the leader's number, those whose engines work.
+    judged
+        The same of those whose texts are whole and wait for their scorers.
+    heard_at
+        When the leader was last heard on the link, in seconds of the steady clock.
+    epoch
+        Of the leader's last message that began a run; 0 before.
+    """
+
+    def __init__(self, host: RunStarter, link: Link) -> None:
+        self.runs: dict[int, ExecutedRun] = {}
+        self.judged: dict[int, ExecutedRun] = {}
+        self.heard_at = clock.monotonic()
+        self.epoch = 0
+        self._host = host
+        self._link = link
+        self._news = NewsGatherer()
+        self._group = Spawner()
+        self._teller: object | None = None
+        self._has_news = curio.Event()
+
+    async def begin(self, message: BeginRun) -> None:
+        """Begin a run, or go on with a held one; its outcome follows with the news."""
+        self.epoch = message.epoch
+        order = _order(message)
+        held = self._host.take_held(order)
+        if held is not None and held.name != order.held:
+            await held.drop()
+            held = None
+        if order.held == NO_RUN:
+            self.runs[order.run] = await self._host.start(order, self, self.epoch)
+        else:
+            await self._go_on(order, held)
+        await self._tell_on()
+
+    async def _tell_on(self) -> None:
+        if self._teller is None:
+            self._teller = await self._group.spawn(self._tell)
+
+    async def _go_on(self, order: RunOrder, held: ExecutedRun | None) -> None:
+        if held is None:
+            await self.take_end(EndedRun(order.run, RunEnd.STALE, "no longer held"))
+            return
+        self.runs[order.run] = held
+        await held.go_on(order, self.epoch, self)
+
+    async def drop(self, run: int) -> None:
+        """End a run that is wanted no more, and say so once its engine has been left.
+
+        The leader begins the sample elsewhere only then.
+        """
+        dropped = self.runs.pop(run, None) or self.judged.pop(run, None)
+        self._news.drop(run)
+        if dropped is not None:
+            await dropped.drop(waits=True)
+        await self.take_end(EndedRun(run, RunEnd.STALE, "dropped"))
+        await self._tell_on()
+
+    async def tell_now(self) -> None:
+        """Send what was gathered, before the link is ended here."""
+        await self._link.send(self._news.take(clock.monotonic()))
+
+    async def end(self) -> None:
+        """Take the end of the link."""
+        await self._leave_runs(LeaveReason.LINK_ENDED)
+        await self._group.__aexit__()
+
+    async def _leave_runs(self, reason: LeaveReason) -> None:
+        runs = [*self.runs.values(), *self.judged.values()]
+        self.runs, self.judged, self._teller = {}, {}, None
+        await self._host.leave(runs, LostLeader(self.epoch, self.heard_at), reason)
+
+    def take_event(self, event: RunEvent) -> None:
+        """Take an event of an engine."""
+        self._news.events.append(event)
+
+    async def take_end(self, ended: EndedRun) -> None:
+        """Take that an engine ended a run."""
+        run = self.runs.pop(ended.run, None)
+        if run is not None and ended.end is RunEnd.WHOLE:
+            self.judged[ended.run] = run
+        self._news.ended.append(ended)
+        await self._has_news.set()
+
+    async def take_score(self, scored: ScoredRun) -> None:
+        """Take what became of scoring a whole text."""
+        self.judged.pop(scored.run, None)
+        self._news.scored.append(scored)
+        await self._has_news.set()
+
+    async def _tell(self) -> None:
+        """Send news while there are runs or scores are made; ends and scores are told at once."""
+        while self.runs or self.judged or self._news.ended or self._news.scored:
+            silent_at = self.heard_at + LEADER_SILENT_SECONDS
+            wait = min(NEWS_SECONDS, max(0.0, silent_at - clock.monotonic()))
+            await curio.ignore_after(wait, self._has_news.wait)
+            self._has_news.clear()
+            now = clock.monotonic()
+            if now >= self.heard_at + LEADER_SILENT_SECONDS:
+                await self._leave_leader()
+                return
+            await self._link.send(self._news.take(now))
+        self._teller = None
+
+    async def _leave_leader(self) -> None:
+        """Leave a leader that is silent; ends the link, so that it hears of it."""
+        await self.tell_now()
+        await self._leave_runs(LeaveReason.LEADER_SILENT)
+        await self._link.drop()
+
+
+def _order(message: BeginRun) -> RunOrder:
+    return RunOrder(
+        message.run,
+        message.engine,
+        Address(message.engine_host, message.engine_port),
+        message.host,
+        message.priority,
+        message.last_event,
+        message.expected_version or None,
+        message.content,
+        message.tenant,
+        message.is_cold,
+        message.sample,
+        RunName(message.held_epoch, message.held_run),
+        RunName(message.text_epoch, message.text_run),
+    )
--- a/src/pondtiller/gateway/runs/held_runs.py
+++ b/src/pondtiller/gateway/runs/leaderless_runs.py
@@ -1,11 +1,16 @@
-"""Runs that go on here though their leader is lost, offered to the one that follows."""
+"""Runs that this gateway keeps after their leader was lost, offered to the one that follows.
+
+Owns them, in memory alone, until a leader takes them or they must end. What becomes of them is
+decided in `rollouts/run_holding.py`; this module looks, asks, offers and ends. Their engines go on
+meanwhile, and what they make is kept in each run (`executed_run.py`).
+"""
 
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
 
 import curio
 
-from pondtiller.gateway.runs.hosted_run import HostedRun
+from pondtiller.gateway.runs.executed_run import ExecutedRun
 from pondtiller.process import clock, logs
 from pondtiller.process.spawner import Spawner
 from pondtiller.rollouts.run_holding import (
@@ -14,6 +19,8 @@
     TAKEN_SECONDS,
     HoldChoice,
     HoldStep,
+    KeepEnd,
+    LeaveReason,
     LostLeader,
     after_asking,
     next_step,
@@ -21,29 +28,32 @@
 from pondtiller.wire.steplog import OfferRuns, RunsTaken, Subscribe
 
 LOOK_SECONDS = 0.05
-"""How soon a new leader is noticed. It waits 0.2 s for offers (`HELD_WAIT_SECONDS`)."""
+"""In seconds: how soon a new leader is noticed. It waits 0.2 s for offers (`HELD_WAIT_SECONDS`)."""
 OFFER_PAUSE_SECONDS = 0.05
-"""Between two offers that were refused at once: nobody listens there, or it reads texts first."""
+"""In seconds, between two offers that were refused at once: nobody listens there, or it reads texts
+first."""
 
 AskLeader = Callable[[OfferRuns, float], Awaitable[RunsTaken | None]]
 
 
 @dataclass
-class HeldRun:
+class LeaderlessRun:
     """A run whose leader is lost.
 
     Attributes
     ----------
+    run, lost
+        The run, and the leader that began it.
     taken_until
         Until when a leader that took it may begin it anew; None while none did.
     """
 
-    run: HostedRun
+    run: ExecutedRun
     lost: LostLeader
     taken_until: float | None = None
 
 
-class HeldRuns:
+class LeaderlessRuns:
     """Keeps runs until a leader takes them or they must end.
 
     Parameters
@@ -73,7 +83,7 @@
         leader_age: Callable[[int], Awaitable[float | None]],
         ask_leader: AskLeader,
     ) -> None:
-        self.runs: dict[str, HeldRun] = {}
+        self.runs: dict[str, LeaderlessRun] = {}
         self._subscription = subscription
         self._leader_epoch = leader_epoch
         self._hears_quorum = hears_quorum
@@ -83,7 +93,9 @@
         self._is_looking = False
         self._offering: set[LostLeader] = set()
 
-    async def hold(self, runs: Iterable[HostedRun], lost: LostLeader, reason: str) -> None:
+    async def hold(
+        self, runs: Iterable[ExecutedRun], lost: LostLeader, reason: LeaveReason
+    ) -> None:
         """Take runs whose leader is lost."""
         held = 0
         for run in runs:
@@ -92,7 +104,7 @@
             if replaced is not None:
                 await replaced.run.drop()
             if run.order.sample:
-                self.runs[run.order.sample] = HeldRun(run, lost)
+                self.runs[run.order.sample] = LeaderlessRun(run, lost)
                 held += 1
             else:
                 # A leader of an earlier version gives no name: nobody could ask for it.
@@ -104,7 +116,7 @@
             self._is_looking = True
             await self._group.spawn(self._look)
 
-    def take(self, sample: str) -> HostedRun | None:
+    def take(self, sample: str) -> ExecutedRun | None:
         """Return a run that a leader wants; it is no longer held."""
         held = self.runs.pop(sample, None)
         return held.run if held is not None else None
@@ -131,7 +143,7 @@
 
     async def _end_untaken(self, now: float) -> None:
         late = [each for each in self.runs.values() if each.taken_until and now > each.taken_until]
-        await self._end(late, "the leader that took them did not begin them")
+        await self._end(late, KeepEnd.NOT_BEGUN)
 
     async def _decide(self, lost: LostLeader) -> None:
         choice = self._next_step(lost)
@@ -146,7 +158,7 @@
     def _next_step(self, lost: LostLeader) -> HoldChoice:
         return next_step(lost, self._leader_epoch(), self._hears_quorum(), clock.monotonic())
 
-    def _of(self, lost: LostLeader) -> list[HeldRun]:
+    def _of(self, lost: LostLeader) -> list[LeaderlessRun]:
         return [each for each in self.runs.values() if each.lost == lost and not each.taken_until]
 
     async def _offer(self, lost: LostLeader, reason: str) -> None:
@@ -166,11 +178,11 @@
         if answer is not None and len(answer.taken) == len(held):
             await self._answered(held, answer, reason)
         elif clock.monotonic() >= late_at:
-            await self._end(held, "the leader that is named does not answer")
+            await self._end(held, KeepEnd.NO_ANSWER)
         else:
             await curio.sleep(OFFER_PAUSE_SECONDS)
 
-    async def _answered(self, held: list[HeldRun], answer: RunsTaken, reason: str) -> None:
+    async def _answered(self, held: list[LeaderlessRun], answer: RunsTaken, reason: str) -> None:
         until = clock.monotonic() + TAKEN_SECONDS
         left = []
         for each, is_taken in zip(held, answer.taken, strict=True):
@@ -185,9 +197,9 @@
             epoch=self._leader_epoch(),
             reason=reason,
         )
-        await self._end(left, "the leader did not take them")
+        await self._end(left, KeepEnd.NOT_TAKEN)
 
-    def _message(self, held: list[HeldRun]) -> OfferRuns:
+    def _message(self, held: list[LeaderlessRun]) -> OfferRuns:
         who = self._subscription()
         return OfferRuns(
             daemon=who.daemon,
@@ -204,7 +216,7 @@
             text_runs=[each.run.text_by.run for each in held],
         )
 
-    async def _end(self, held: list[HeldRun], reason: str) -> None:
+    async def _end(self, held: list[LeaderlessRun], reason: str) -> None:
         ended = 0
         for each in held:
             if self.runs.get(each.run.order.sample) is each:
--- a/src/pondtiller/gateway/runs/run_host.py
+++ b/src/pondtiller/gateway/runs/run_host.py
@@ -1,175 +1,55 @@
-"""Runs samples for a leader elsewhere: holds their streams, and tells what they make.
+"""Runs samples for leaders elsewhere: holds their streams, and tells what they make.
 
-A run belongs to the link on which it was begun. When the link ends, or the leader has not been
-heard for `LEADER_SILENT_SECONDS`, the run is held for the leader that follows (`held_runs.py`), or
-ends where that is not known in time: a successor may begin the same sample at another engine.
-What a run made is the leader's to keep; this daemon keeps what was made in the runs that it has.
+A run belongs to the link on which it was begun (`leader_runs.py`). When its leader is lost it is
+kept for the one that follows (`leaderless_runs.py`), or ends where that is not known in time.
 
-`HostedRun` is one run, `HostedRuns` are those of one leader's link, `HeldRuns` those whose leader
-is lost.
+Owns which runs go on here, in memory alone: they end with this gateway. What a run made is the
+leader's to keep; this gateway keeps what was made in the runs that it has. Does not choose engines
+and does not continue a run that breaks: both are the leader's.
 """
 
 from collections.abc import Callable
-from typing import Any
 
-import curio
 from betterproto import Message
 
-from pondtiller.address import Address
-from pondtiller.gateway.runs.held_runs import HeldRuns
-from pondtiller.gateway.runs.hosted_run import HostedRun
+from pondtiller.gateway.runs.executed_run import ExecutedRun, RunListener
+from pondtiller.gateway.runs.leader_runs import LeaderRuns
+from pondtiller.gateway.runs.leaderless_runs import LeaderlessRuns
 from pondtiller.gateway.runs.sample_runner import RunOrder, RunOutcome, SampleRunner, ScoreOutcome
 from pondtiller.links.link import Link
 from pondtiller.process import clock, logs
 from pondtiller.process.spawner import Spawner
-from pondtiller.rollouts.run_holding import LEADER_SILENT_SECONDS, LostLeader
-from pondtiller.rollouts.run_news import EndedRun, NewsGatherer, RunEvent, ScoredRun
-from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName, ScoreEnd
-from pondtiller.wire.steplog import (
-    BeginRun,
-    DropRun,
-    KeepRuns,
-    ScoreAnswer,
-    ScoreSample,
-)
+from pondtiller.rollouts.run_holding import LeaveReason, LostLeader, why_not_begun
+from pondtiller.rollouts.sample_work import RunEnd, ScoreEnd
+from pondtiller.wire.steplog import BeginRun, DropRun, KeepRuns, ScoreAnswer, ScoreSample
 
-NEWS_SECONDS = 0.25
-"""How long events are gathered; texts are saved every 0.5 s, so no more often than that helps."""
 RUN_MESSAGES = (BeginRun, DropRun, KeepRuns)
 
 
-class HostedRuns:
-    """The runs that one leader's link has begun here.
-
-    Attributes
-    ----------
-    runs
-        By the leader's number, those whose engines work.
-    judged
-        The same of those whose texts are whole and wait for their scorers.
-    """
-
-    def __init__(self, host: "RunHost", link: Link) -> None:
-        self.runs: dict[int, HostedRun] = {}
-        self.judged: dict[int, HostedRun] = {}
-        self.heard_at = clock.monotonic()
-        self.epoch = 0
-        self._host = host
-        self._link = link
-        self._news = NewsGatherer()
-        self._group = Spawner()
-        self._teller: Any = None
-        self._has_news = curio.Event()
-
-    async def begin(self, message: BeginRun) -> None:
-        """Begin a run, or go on with a held one; its outcome follows with the news."""
-        self.epoch = message.epoch
-        order = _order(message)
-        held = self._host.take_held(order)
-        if held is not None and held.name != order.held:
-            await held.drop()
-            held = None
-        if order.held == NO_RUN:
-            self.runs[order.run] = await self._host.start(order, self, self.epoch)
-        else:
-            await self._go_on(order, held)
-        await self._tell_on()
-
-    async def _tell_on(self) -> None:
-        if self._teller is None:
-            self._teller = await self._group.spawn(self._tell)
-
-    async def _go_on(self, order: RunOrder, held: HostedRun | None) -> None:
-        if held is None:
-            await self.take_end(EndedRun(order.run, RunEnd.STALE, "no longer held"))
-            return
-        self.runs[order.run] = held
-        await held.go_on(order, self.epoch, self)
-
-    async def drop(self, run: int) -> None:
-        """End a run that is wanted no more, and say so once its engine has been left.
-
-        The leader begins the sample elsewhere only then.
-        """
-        dropped = self.runs.pop(run, None) or self.judged.pop(run, None)
-        self._news.drop(run)
-        if dropped is not None:
-            await dropped.drop(waits=True)
-        await self.take_end(EndedRun(run, RunEnd.STALE, "dropped"))
-        await self._tell_on()
-
-    async def tell_now(self) -> None:
-        """Send what was gathered, before the link is ended here."""
-        await self._link.send(self._news.take(clock.monotonic()))
-
-    async def end(self) -> None:
-        """Take the end of the link."""
-        await self._leave_runs("the link ended")
-        await self._group.__aexit__()
-
-    async def _leave_runs(self, reason: str) -> None:
-        runs = [*self.runs.values(), *self.judged.values()]
-        self.runs, self.judged, self._teller = {}, {}, None
-        await self._host.leave(runs, LostLeader(self.epoch, self.heard_at), reason)
-
-    def take_event(self, event: RunEvent) -> None:
-        """Take an event of an engine."""
-        self._news.events.append(event)
-
-    async def take_end(self, ended: EndedRun) -> None:
-        """Take that an engine ended a run."""
-        run = self.runs.pop(ended.run, None)
-        if run is not None and ended.end is RunEnd.WHOLE:
-            self.judged[ended.run] = run
-        self._news.ended.append(ended)
-        await self._has_news.set()
-
-    async def take_score(self, scored: ScoredRun) -> None:
-        """Take what became of scoring a whole text."""
-        self.judged.pop(scored.run, None)
-        self._news.scored.append(scored)
-        await self._has_news.set()
-
-    async def _tell(self) -> None:
-        """Send news while there are runs or scores are made; ends and scores are told at once."""
-        while self.runs or self.judged or self._news.ended or self._news.scored:
-            silent_at = self.heard_at + LEADER_SILENT_SECONDS
-            wait = min(NEWS_SECONDS, max(0.0, silent_at - clock.monotonic()))
-            await curio.ignore_after(wait, self._has_news.wait)
-            self._has_news.clear()
-            now = clock.monotonic()
-            if now >= self.heard_at + LEADER_SILENT_SECONDS:
-                await self._leave_leader()
-                return
-            await self._link.send(self._news.take(now))
-        self._teller = None
-
-    async def _leave_leader(self) -> None:
-        """Leave a leader that is silent; ends the link, so that it hears of it."""
-        await self.tell_now()
-        await self._leave_runs("the leader is silent")
-        await self._link.drop()
-
-
 class RunHost:
-    """Takes the messages of leaders to this daemon as a runner.
+    """Takes the messages of leaders to this gateway as a runner.
 
     Parameters
     ----------
     highest_epoch
-        Returns the highest epoch that this daemon has heard of from replicas.
+        Returns the highest epoch that this gateway has heard of from replicas.
     held
         Keeps runs whose leader is lost; None where they end with it.
+
+    Attributes
+    ----------
+    by_link
+        The runs of each leader's link.
     """
 
     def __init__(
         self,
         runner: SampleRunner,
         highest_epoch: Callable[[], int],
-        held: HeldRuns | None = None,
+        held: LeaderlessRuns | None = None,
     ) -> None:
         self.runner = runner
-        self.hosted: dict[Link, HostedRuns] = {}
+        self.by_link: dict[Link, LeaderRuns] = {}
         self.is_stopping = False
         self.held = held
         self._highest_epoch = highest_epoch
@@ -179,28 +59,28 @@
     def runs(self) -> int:
         """Runs that go on here."""
         held = len(self.held.runs) if self.held is not None else 0
-        return held + sum(len(each.runs) for each in self.hosted.values())
+        return held + sum(len(each.runs) for each in self.by_link.values())
 
     async def take(self, link: Link, message: Message) -> None:
         """Take a message that begins, drops or keeps runs."""
-        hosted = self.hosted.get(link)
-        if hosted is None:
-            hosted = self.hosted[link] = HostedRuns(self, link)
-        hosted.heard_at = clock.monotonic()
+        of_leader = self.by_link.get(link)
+        if of_leader is None:
+            of_leader = self.by_link[link] = LeaderRuns(self, link)
+        of_leader.heard_at = clock.monotonic()
         match message:
             case BeginRun():
                 if await self._may_begin(link, message):
-                    await hosted.begin(message)
+                    await of_leader.begin(message)
             case DropRun():
-                await hosted.drop(message.run)
+                await of_leader.drop(message.run)
 
-    async def start(self, order: RunOrder, hosted: HostedRuns, epoch: int) -> HostedRun:
+    async def start(self, order: RunOrder, listener: RunListener, epoch: int) -> ExecutedRun:
         """Begin a run at its engine."""
-        run = HostedRun(order, epoch, hosted, order.last_event, order.text_by)
+        run = ExecutedRun(order, epoch, listener, order.last_event, order.text_by)
         run.task = await self._group.spawn(self._run, run)
         return run
 
-    async def _run(self, run: HostedRun) -> None:
+    async def _run(self, run: ExecutedRun) -> None:
         """Run a sample; a text that is made whole here is judged at once."""
         try:
             outcome = await self.runner.run(run.order, run.take)
@@ -217,7 +97,7 @@
             score = ScoreOutcome(ScoreEnd.LOST, "", self._note_error(run, error))
         await run.scored(score)
 
-    def _note_error(self, run: HostedRun, error: Exception) -> str:
+    def _note_error(self, run: ExecutedRun, error: Exception) -> str:
         """Log a fault of this program; the leader goes on with the sample elsewhere."""
         reason = f"{type(error).__name__}: {error}"
         logs.decision(
@@ -225,11 +105,11 @@
         )
         return reason
 
-    def take_held(self, order: RunOrder) -> HostedRun | None:
+    def take_held(self, order: RunOrder) -> ExecutedRun | None:
         """Return the held run of an order's sample; it is no longer held."""
         return self.held.take(order.sample) if self.held is not None else None
 
-    async def leave(self, runs: list[HostedRun], lost: LostLeader, reason: str) -> None:
+    async def leave(self, runs: list[ExecutedRun], lost: LostLeader, reason: LeaveReason) -> None:
         """Hold runs whose leader is lost, or end them."""
         if self.held is not None and not self.is_stopping:
             await self.held.hold(runs, lost, reason)
@@ -242,9 +122,9 @@
     async def _may_begin(self, link: Link, message: BeginRun) -> bool:
         """Return whether a run may begin; the link of a leader that is deposed is ended."""
         highest = self._highest_epoch()
-        if message.epoch >= highest and not self.is_stopping:
+        reason = why_not_begun(message.epoch, highest, self.is_stopping)
+        if reason is None:
             return True
-        reason = "this daemon stops" if self.is_stopping else "an older leader"
         logs.decision(
             "hosted_run_refused",
             run=message.run,
@@ -258,17 +138,17 @@
 
     async def lost(self, link: Link) -> None:
         """Take the end of a link."""
-        hosted = self.hosted.pop(link, None)
-        if hosted is not None:
-            await hosted.end()
+        of_leader = self.by_link.pop(link, None)
+        if of_leader is not None:
+            await of_leader.end()
 
     async def stop(self) -> None:
         """End all runs, since this daemon stops; their leaders go on elsewhere."""
         self.is_stopping = True
         if self.held is not None:
-            await self.held.end("this daemon stops")
-        for link, hosted in list(self.hosted.items()):
-            await hosted.tell_now()
+            await self.held.end(LeaveReason.STOPS)
+        for link, of_leader in list(self.by_link.items()):
+            await of_leader.tell_now()
             await link.drop()
 
     async def close(self) -> None:
@@ -287,21 +167,3 @@
             attempts=outcome.attempts,
             request=outcome.request,
         )
-
-
-def _order(message: BeginRun) -> RunOrder:
-    return RunOrder(
-        message.run,
-        message.engine,
-        Address(message.engine_host, message.engine_port),
-        message.host,
-        message.priority,
-        message.last_event,
-        message.expected_version or None,
-        message.content,
-        message.tenant,
-        message.is_cold,
-        message.sample,
-        RunName(message.held_epoch, message.held_run),
-        RunName(message.text_epoch, message.text_run),
-    )
--- a/src/pondtiller/gateway/runs/sample_runner.py
+++ b/src/pondtiller/gateway/runs/sample_runner.py
@@ -1,4 +1,9 @@
-"""Carries out samples' runs and their scorers' requests."""
+"""Carries out one run of a sample at an engine, and one request to a scorer.
+
+Owns nothing: connections belong to the pool, and what a run made to its `ExecutedRun` or to the
+leader. Relies on `SendGate` for whether the engine may still get a sample. Does not choose engines
+for samples and does not try again: that is the leader's (`rollouts/samples.py`).
+"""
 
 import math
 from collections.abc import Callable
--- a/src/pondtiller/gateway/tests/test_held_runs.py
+++ b/src/pondtiller/gateway/tests/test_held_runs.py
@@ -11,8 +11,8 @@
 from pondtiller.gateway.leader.run_links import RUNNER_LOST, RunnerLink
 from pondtiller.gateway.leader.term import Term
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.runs import held_runs
-from pondtiller.gateway.runs.held_runs import HeldRuns
+from pondtiller.gateway.runs import leaderless_runs
+from pondtiller.gateway.runs.leaderless_runs import LeaderlessRuns
 from pondtiller.gateway.runs.run_host import RunHost
 from pondtiller.gateway.runs.sample_runner import EventSink, RunOrder, RunOutcome, ScoreOutcome
 from pondtiller.gateway.tests.system import System, run_system
@@ -200,7 +200,7 @@
 
         for each in others:
             each.run_host.held._ask_leader = hangs
-            for link in each.run_host.hosted:
+            for link in each.run_host.by_link:
                 link.send = _nothing
         texts(await system.read_all("s1", 4), EVENTS)
         assert working.doubled_seconds() < TWICE_SECONDS
@@ -319,7 +319,7 @@
         self.leader_age: float | None = None
         self.takes = True
         self.offers: list[OfferRuns] = []
-        self.held = HeldRuns(
+        self.held = LeaderlessRuns(
             lambda: Subscribe(daemon="d", zone="z", host="10.0.0.9", port=9, cores=1.0),
             lambda: self.epoch,
             lambda: self.hears,
@@ -353,7 +353,7 @@
         await curio.sleep(0.15)
         assert (world.host.runs, world.engine.working, world.offers) == (1, 1, [])
         world.epoch = 6
-        await curio.sleep(2 * held_runs.LOOK_SECONDS)
+        await curio.sleep(2 * leaderless_runs.LOOK_SECONDS)
         assert [each.samples for each in world.offers] == [["s"]]
         again = BeginRun(
             epoch=6, run=7, engine="e", sample="s", last_event=3, held_epoch=5, held_run=1
@@ -392,7 +392,7 @@
 
 @pytest.mark.parametrize("why", ["not taken", "cut off", "never begun", "this daemon stops"])
 def test_held_runs_end(why: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(held_runs, "TAKEN_SECONDS", 0.2)
+    monkeypatch.setattr(leaderless_runs, "TAKEN_SECONDS", 0.2)
 
     async def main() -> None:
         world, link = World(), FakeLink()
@@ -507,7 +507,7 @@
         await world.host.take(link, BEGIN)
         await curio.sleep(0.05)
         await world.host.lost(link)
-        await curio.sleep(run_holding.SAME_LEADER_SECONDS + 2 * held_runs.LOOK_SECONDS)
+        await curio.sleep(run_holding.SAME_LEADER_SECONDS + 2 * leaderless_runs.LOOK_SECONDS)
         assert (world.host.runs, world.engine.working) == (0, 0)
 
     assert run_holding.SAME_LEADER_SECONDS < TWICE_SECONDS
@@ -534,6 +534,6 @@
         assert ends == [RunEnd.BROKEN if what == "run" else RunEnd.WHOLE]
         scores = [each.end for one in news for each in read_scores(one)]
         assert scores == ([] if what == "run" else [ScoreEnd.LOST])
-        assert (host.runs, host.hosted[link].judged) == (0, {})
+        assert (host.runs, host.by_link[link].judged) == (0, {})
 
     curio.run(main)
--- a/src/pondtiller/gateway/tests/test_runs_elsewhere.py
+++ b/src/pondtiller/gateway/tests/test_runs_elsewhere.py
@@ -13,7 +13,7 @@
 from pondtiller.gateway.leader import term as terms
 from pondtiller.gateway.leader.run_links import RUNNER_SILENT_SECONDS, RunnerLink
 from pondtiller.gateway.process import GatewayProcess
-from pondtiller.gateway.runs import run_host
+from pondtiller.gateway.runs import leader_runs, run_host
 from pondtiller.gateway.runs.run_host import RunHost
 from pondtiller.gateway.runs.sample_runner import EventSink, RunOrder, RunOutcome
 from pondtiller.gateway.tests.system import System, run_system
@@ -67,7 +67,7 @@
         await system.until(lambda: any(each.run_host.runs for each in others))
         await curio.sleep(0.5)
         for each in others:
-            for link in list(each.run_host.hosted):
+            for link in list(each.run_host.by_link):
                 await link.drop()
         texts(await system.read_all("s1", 4), 20)
         seen = [headers for engine in system.llm for _, _, headers in engine.seen]
@@ -239,7 +239,7 @@
             await curio.sleep(0.3)
             await host.take(link, KeepRuns(epoch=5))
         assert (host.runs, engine.working) == (1, 1)
-        await curio.sleep(run_host.LEADER_SILENT_SECONDS + run_host.NEWS_SECONDS + 0.2)
+        await curio.sleep(leader_runs.LEADER_SILENT_SECONDS + leader_runs.NEWS_SECONDS + 0.2)
         assert (host.runs, engine.working, link.is_lost) == (0, 0, True)
         told = [event for news in link.of(RunNews) for event in read_events(news, 0.0)]
         numbers = [event.number for event in told]
--- a/src/pondtiller/rollouts/run_holding.py
+++ b/src/pondtiller/rollouts/run_holding.py
@@ -4,6 +4,9 @@
 and another one began from the text saved last. Now the runner goes on, and offers its runs to
 the leader that the replicas name. What must not be is that an engine works on a sample while a
 leader has begun it at another one: so a run ends as soon as its runner cannot know that any more.
+
+Owns nothing; `gateway/runs/leaderless_runs.py` keeps the runs and does what is decided here. All
+times are in seconds.
 """
 
 from enum import StrEnum
@@ -31,6 +34,43 @@
 """The same of another leader: it begins none for 0.2 s of its term, and is named when promised."""
 
 
+class LeaveReason(StrEnum):
+    """Why runs here have no leader any more, as the logs say it."""
+
+    LINK_ENDED = "the link ended"
+    LEADER_SILENT = "the leader is silent"
+    STOPS = "this daemon stops"
+
+
+class KeepEnd(StrEnum):
+    """Why runs without a leader end though one was asked, as the logs say it."""
+
+    NOT_TAKEN = "the leader did not take them"
+    NO_ANSWER = "the leader that is named does not answer"
+    NOT_BEGUN = "the leader that took them did not begin them"
+
+
+class BeginRefusal(StrEnum):
+    """Why a run is not begun for a leader, as the logs say it."""
+
+    STOPS = "this daemon stops"
+    OLDER_LEADER = "an older leader"
+
+
+class HoldReason(StrEnum):
+    """Why runs without a leader are kept, offered or ended, as the logs say it."""
+
+    TOO_LONG = "no leader took them"
+    CUT_OFF = "the replicas are not heard"
+    NO_LEADER = "no leader is known"
+    OTHER_LEADER = "another leader is known"
+    LEADER_SILENT = "the leader is silent"
+    LINK_ENDED = "the link ended"
+    TOO_FEW_ANSWERED = "too few replicas answered"
+    LEADER_LEADS = "the leader leads and does not reach this daemon"
+    LOST_BY_ALL = "the replicas do not hear the leader either"
+
+
 class HoldStep(StrEnum):
     """What to do with runs whose leader is lost."""
 
@@ -51,7 +91,7 @@
     """A step with its reason, for the logs."""
 
     step: HoldStep
-    reason: str
+    reason: HoldReason
 
 
 def next_step(
@@ -69,17 +109,17 @@
     """
     silence = now - lost.heard_at
     if silence >= LONGEST_SECONDS:
-        return HoldChoice(HoldStep.END, "no leader took them")
+        return HoldChoice(HoldStep.END, HoldReason.TOO_LONG)
     if not hears_quorum:
-        return HoldChoice(HoldStep.END, "the replicas are not heard")
+        return HoldChoice(HoldStep.END, HoldReason.CUT_OFF)
     if leader_epoch is None:
-        return HoldChoice(HoldStep.KEEP, "no leader is known")
+        return HoldChoice(HoldStep.KEEP, HoldReason.NO_LEADER)
     if leader_epoch > lost.epoch:
-        return HoldChoice(HoldStep.OFFER, "another leader is known")
+        return HoldChoice(HoldStep.OFFER, HoldReason.OTHER_LEADER)
     if silence >= LEADER_SILENT_SECONDS:
-        return HoldChoice(HoldStep.ASK, "the leader is silent")
+        return HoldChoice(HoldStep.ASK, HoldReason.LEADER_SILENT)
     # Its connection ended, but it may live: then it says that it has begun them elsewhere.
-    return HoldChoice(HoldStep.OFFER, "the link ended")
+    return HoldChoice(HoldStep.OFFER, HoldReason.LINK_ENDED)
 
 
 def after_asking(leader_age: float | None) -> HoldChoice:
@@ -91,7 +131,22 @@
         How long ago any member of their group heard it, in seconds; None where too few answered.
     """
     if leader_age is None:
-        return HoldChoice(HoldStep.END, "too few replicas answered")
+        return HoldChoice(HoldStep.END, HoldReason.TOO_FEW_ANSWERED)
     if leader_age < HEARD_SECONDS:
-        return HoldChoice(HoldStep.END, "the leader leads and does not reach this daemon")
-    return HoldChoice(HoldStep.KEEP, "the replicas do not hear the leader either")
+        return HoldChoice(HoldStep.END, HoldReason.LEADER_LEADS)
+    return HoldChoice(HoldStep.KEEP, HoldReason.LOST_BY_ALL)
+
+
+def why_not_begun(epoch: int, highest_epoch: int, is_stopping: bool) -> BeginRefusal | None:
+    """Return why a run is not begun for a leader; None where it is.
+
+    Parameters
+    ----------
+    epoch
+        Of the leader that asks.
+    highest_epoch
+        The highest that this gateway has heard of from replicas: an older leader is deposed.
+    """
+    if is_stopping:
+        return BeginRefusal.STOPS
+    return BeginRefusal.OLDER_LEADER if epoch < highest_epoch else None
--- a/src/pondtiller/rollouts/tests/test_run_holding.py
+++ b/src/pondtiller/rollouts/tests/test_run_holding.py
@@ -4,8 +4,8 @@
 
 from pondtiller.gateway.leader.run_links import RUNNER_SILENT_SECONDS
 from pondtiller.gateway.leader.run_offers import HELD_WAIT_SECONDS
-from pondtiller.gateway.runs.held_runs import LOOK_SECONDS
-from pondtiller.gateway.runs.run_host import NEWS_SECONDS
+from pondtiller.gateway.runs.leader_runs import NEWS_SECONDS
+from pondtiller.gateway.runs.leaderless_runs import LOOK_SECONDS
 from pondtiller.peers.leader_age import ANSWER_SECONDS
 from pondtiller.peers.replicas import STALE_VIEW_SECONDS
 from pondtiller.rollouts.run_holding import (
