--- a/src/pondtiller/rollouts/versions.py
+++ b/src/pondtiller/rollouts/versions.py
@@ -3,25 +3,30 @@
 Orders carry the leader's epoch as their fence, the engine's incarnation, and the number of
 orders that the engine had taken, so one that is carried out late does nothing. A few engines
 of a model load at a time; the others serve on with the version before.
+
+Owns the orders under way and what engines last reported, for one term of a leader; what lasts is
+at the engines themselves. Relies on `load_choice.py` and `model_demand.py` for which engines load
+and how many, and on its caller to send orders and questions. Does not read weights.
 """
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from pondtiller.rollouts.load_shares import engines_needed, load_shares
+from pondtiller.rollouts.load_choice import LoadOrder, is_spare, loads_at_once
+from pondtiller.rollouts.model_demand import ModelDemand
 from pondtiller.rollouts.model_fleet import ModelFleet, fleets_of
 from pondtiller.routes.engines import Engine, EngineDirectory
 
-LOADS_AT_ONCE_SHARE = 0.4
-FEWEST_LOADS_AT_ONCE = 2
 LOAD_SECONDS = 1.6
+"""From an engine's consent until it is asked what became of the load, in seconds. Chosen, not
+measured: too short asks an engine that still loads, which costs a message; an entry or report that
+names the version ends the wait before."""
 UNANSWERED_SECONDS = 0.8
+"""The same from an order that was not answered yet, and between two questions, in seconds. Chosen,
+not measured: too short asks a busy engine in vain, which costs a message."""
 REFUSED_SECONDS = 0.4
-DEMAND_WEIGHT = 0.3
-VERSIONS_IN_TURN = 2
-"""A step may use the version before its own: the engines of the last two versions serve, those of
-the one before that load the next."""
-PEAK_WEIGHT = 0.3
-"""How fast the places that a model needs follow smaller steps; larger ones count at once."""
+"""Pause of an engine that refused an order or whose count of orders is being asked, in seconds.
+Chosen, not measured: its own report ends it before; without one the engine is asked again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,6 +47,24 @@
     engine: str
 
 
+class EngineReport(NamedTuple):
+    """What an engine said of itself, with the orders that it took after that.
+
+    Attributes
+    ----------
+    models
+        Versions by model.
+    orders_taken
+        Orders that it has taken so far; the next one names this number.
+    """
+
+    models: dict[str, int]
+    orders_taken: int
+
+
+NOTHING_REPORTED = EngineReport({}, 0)
+
+
 @dataclass
 class Load:
     """An order under way.
@@ -71,9 +94,11 @@
         No order to an engine before this time, by its place: another leader's last order to it
         may still arrive.
     demand
-        Tokens of a step by model, smoothed.
-    places
-        Samples of a step by model: the most of late.
+        What steps ask of each model.
+    loads
+        Orders under way, by engine.
+    known
+        What engines reported, by engine.
     """
 
     engines: EngineDirectory
@@ -81,10 +106,9 @@
     single_version_models: set[str] = field(default_factory=set)
     may_order_from: float = float("inf")
     waits: dict[str, float] = field(default_factory=dict)
-    demand: dict[str, float] = field(default_factory=dict)
-    places: dict[str, float] = field(default_factory=dict)
+    demand: ModelDemand = field(default_factory=ModelDemand)
     loads: dict[str, Load] = field(default_factory=dict)
-    known: dict[str, tuple[dict[str, int], int]] = field(default_factory=dict)
+    known: dict[str, EngineReport] = field(default_factory=dict)
     _pause: dict[str, float] = field(default_factory=dict)
     _fleets: dict[str, ModelFleet] = field(default_factory=dict)
     _out: list[OrderVersion | AskEngine] = field(default_factory=list)
@@ -100,10 +124,7 @@
 
     def step_opened(self, model: str, tokens: float, samples: int) -> None:
         """Take the size of a step, for the sharing of engines among models."""
-        before = self.demand.get(model, tokens)
-        self.demand[model] = before + DEMAND_WEIGHT * (tokens - before)
-        most = self.places.get(model, 0.0)
-        self.places[model] = max(samples, most + PEAK_WEIGHT * (samples - most))
+        self.demand.step_opened(model, tokens, samples)
 
     def answered(self, engine: str, is_taken: bool, now: float) -> None:
         """Take an engine's consent or refusal."""
@@ -119,12 +140,12 @@
             self._out.append(AskEngine(engine))
 
     def _count_order(self, engine: str) -> None:
-        models, taken = self.known[engine]
-        self.known[engine] = (models, taken + 1)
+        report = self.known[engine]
+        self.known[engine] = report._replace(orders_taken=report.orders_taken + 1)
 
     def reported(self, engine: str, models: dict[str, int], orders_taken: int, busy: bool) -> None:
         """Take an engine's own report."""
-        self.known[engine] = (models, orders_taken)
+        self.known[engine] = EngineReport(models, orders_taken)
         self._pause.pop(engine, None)
         load = self.loads.get(engine)
         if load is not None and not busy:
@@ -160,12 +181,9 @@
                 self._out.append(AskEngine(identifier))
 
     def _loads_at_once(self) -> int:
-        """Return how many engines may load together; the others serve on meanwhile.
-
-        The store of the weights slows down when more than a share of the engines load.
-        """
+        """Return how many engines may load together; the others serve on meanwhile."""
         with_models = {each for fleet in self._fleets.values() for each in fleet.engines}
-        return max(FEWEST_LOADS_AT_ONCE, int(len(with_models) * LOADS_AT_ONCE_SHARE))
+        return loads_at_once(len(with_models))
 
     def _by_need(self) -> list[tuple[str, int]]:
         """Return the newest versions, those that fewest engines have first."""
@@ -179,49 +197,39 @@
         one of the last versions take turns, and the others stay as they are.
         """
         fleet = self._fleet(model)
-        is_enough = self._is_enough(fleet)
-        wanted = self._needed(model, fleet) if is_enough else self._share(model, fleet)
-        missing = wanted - len(self._holding(model, version))
+        missing = self.demand.engines_wanted(model, fleet) - len(self._holding(model, version))
         if missing <= 0:
             return []
         behind = [
             engine
             for engine in fleet.engines.values()
-            if self._version_of(engine, model) < version
-            and engine.identifier not in self.loads
-            and now >= self._pause.get(engine.identifier, 0.0)
-            and now >= self.waits.get(engine.place, 0.0)
+            if self._version_of(engine, model) < version and self._may_order(engine, now)
         ]
+        is_enough = self.demand.is_enough(fleet)
 
-        def order(engine: Engine) -> tuple[bool, bool, int, int, str]:
+        def order(engine: Engine) -> LoadOrder:
             has = self._version_of(engine, model)
-            is_spare = is_enough and version - has > VERSIONS_IN_TURN
-            is_slow = engine.identifier in fleet.slow
-            return is_slow, is_spare, has, engine.running, engine.identifier
+            return LoadOrder(
+                engine.identifier in fleet.slow,
+                is_spare(has, version, is_enough),
+                has,
+                engine.running,
+                engine.identifier,
+            )
 
         return sorted(behind, key=order)[:missing]
 
+    def _may_order(self, engine: Engine, now: float) -> bool:
+        """Return whether an engine may get an order now."""
+        return (
+            engine.identifier not in self.loads
+            and now >= self._pause.get(engine.identifier, 0.0)
+            and now >= self.waits.get(engine.place, 0.0)
+        )
+
     def _fleet(self, model: str) -> ModelFleet:
         return self._fleets.get(model) or ModelFleet()
 
-    def _is_enough(self, fleet: ModelFleet) -> bool:
-        """Return whether the sound engines are as many as all their models' steps need."""
-        needed = sum(self._needed(model, fleet) for model in fleet.models)
-        return needed <= fleet.sound
-
-    def _share(self, model: str, fleet: ModelFleet) -> int:
-        """Return how many engines a model may have beside the others, by demand."""
-        usual = sum(self.demand.values()) / len(self.demand) if self.demand else 1.0
-        demand = {each: self.demand.get(each, usual) for each in fleet.models}
-        return load_shares(max(fleet.sound, 1), demand).get(model, 1)
-
-    def _needed(self, model: str, fleet: ModelFleet) -> int:
-        """Return how many engines a model's steps need; all while no step is known."""
-        samples = self.places.get(model)
-        if samples is None:
-            return len(fleet.engines)
-        return engines_needed(samples, fleet.slots)
-
     def _holding(self, model: str, version: int) -> set[str]:
         """Return the sound engines that have a version, or are loading it."""
         fleet = self._fleet(model)
@@ -242,7 +250,7 @@
         return engine is None or not self.engines.is_evacuated(engine)
 
     def _version_of(self, engine: Engine, model: str) -> int:
-        reported, _ = self.known.get(engine.identifier, ({}, 0))
+        reported = self.known.get(engine.identifier, NOTHING_REPORTED).models
         return max(engine.entry.models.get(model, 0), reported.get(model, 0))
 
     def _ask_first(self, engine: Engine, now: float) -> None:
@@ -251,7 +259,7 @@
         self._out.append(AskEngine(engine.identifier))
 
     def _order(self, engine: Engine, model: str, version: int, now: float) -> None:
-        _, orders_taken = self.known[engine.identifier]
+        orders_taken = self.known[engine.identifier].orders_taken
         self.loads[engine.identifier] = Load(model, version, now + UNANSWERED_SECONDS)
         self._out.append(
             OrderVersion(
