--- a/src/pondtiller/coordination/documents.py
+++ b/src/pondtiller/coordination/documents.py
@@ -3,6 +3,8 @@
 A document is a named body with the revision that the platform's object service gave it.
 A replica takes a higher revision and never a lower one, so an old read, a late message or
 a healed cut cannot make it go back.
+
+Owns the documents in memory; the object service holds what lasts. Does not write them there.
 """
 
 from dataclasses import dataclass
@@ -11,6 +13,9 @@
 from pondtiller.coordination.outbound import Outbound
 
 PULL_AGAIN_SECONDS = 0.5
+"""After which a pull from the same member that was not answered is sent again, in seconds. Chosen,
+not measured: several digests in a row that name one revision cost one pull; a lost one costs
+this."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/coordination/fair_queue.py
+++ b/src/pondtiller/coordination/fair_queue.py
@@ -1,4 +1,7 @@
-"""Weighted fair queueing over rows by virtual finish time."""
+"""Weighted fair queueing over rows by virtual finish time.
+
+Owns the queues, in memory alone. Does not say how many may go, nor refuse.
+"""
 
 from collections import deque
 from typing import Generic, TypeVar
@@ -6,6 +9,8 @@
 Item = TypeVar("Item")
 
 SMALLEST_WEIGHT = 1e-3
+"""Least weight that a row counts with: keeps a weight of 0 from a division. Chosen, not measured:
+such a row gets a thousandth of what a row of weight 1 gets."""
 
 
 class FairQueue(Generic[Item]):
--- a/src/pondtiller/coordination/rate_shares.py
+++ b/src/pondtiller/coordination/rate_shares.py
@@ -26,8 +26,10 @@
 PROMISE_SECONDS = 0.5
 """How long a place is kept for a request whose connection is being opened."""
 DEMAND_SECONDS = 2.0
+"""Over how long, in seconds, requests are counted to tell how many come. Chosen, not measured: two
+windows of the rate, so that one second without a request gives no share back."""
 HEADROOM = 1.25
-"""Requests do not come evenly: asked for is a quarter more than came."""
+"""Requests do not come evenly: asked for is a quarter more than came. Chosen, not measured."""
 RENEW_PARTS = 3.0
 """A share in use is renewed this many times within its lease."""
 RETRY_SECONDS = 0.15
--- a/src/pondtiller/coordination/registers/configuration.py
+++ b/src/pondtiller/coordination/registers/configuration.py
@@ -16,6 +16,7 @@
 SUCCESSOR_KEY = "!successor"
 CONTROL_PREFIX = "control/"
 CONTROL_SHARD = 0
+"""Shard of the keys under `CONTROL_PREFIX`. A name, not a measure."""
 
 
 def epoch_label(shard: int, epoch: int, nonce: str) -> str:
--- a/src/pondtiller/coordination/registers/proposer.py
+++ b/src/pondtiller/coordination/registers/proposer.py
@@ -21,8 +21,16 @@
 from pondtiller.coordination.retries import Backoff
 
 FIRST_RESEND_SECONDS = 0.25
+"""Until a phase that too few replicas answered is sent again the first time, in seconds; each
+further wait is twice as long. Chosen, not measured: three times the 80 ms that an answer between
+regions takes at least."""
 LONGEST_RESEND_SECONDS = 1.0
+"""Longest of these waits, in seconds. Chosen, not measured: operations on a shard that cannot
+answer send one message a second and replica, not a storm."""
 KEPT_BALLOTS = 4096
+"""Registers whose next ballot is kept, the ones written last. Bounds memory; a repeated change of a
+kept register takes one round trip (6 messages on three replicas), of another one two (12). The
+number itself was chosen, not measured."""
 CONFLICT_BACKOFF = Backoff(first=0.01, maximum=0.5)
 
 Change = Callable[[bytes], bytes]
--- a/src/pondtiller/coordination/registers/reconfigurer.py
+++ b/src/pondtiller/coordination/registers/reconfigurer.py
@@ -23,9 +23,19 @@
 from pondtiller.hashing import rank
 
 RESEND_SECONDS = 0.5
+"""Between two sends of what a replacement still waits for, in seconds. Chosen, not measured: each
+step is safe to repeat, so too short costs messages alone."""
 GIVE_UP_SECONDS = 10.0
+"""After which a replacement is abandoned, in seconds. Chosen, not measured: safe at any moment,
+since the old replicas agree on one successor; it begins anew with the members that are alive
+then."""
 SHARDS_AT_A_TIME = 8
+"""Shards whose replicas are replaced together. Chosen, not measured: bounds the state that is moved
+at once when a member is lost; the others follow."""
 RESET_EPOCHS = 1000
+"""By how much the epoch of an emptied shard is above the lost one's. Chosen, not measured: far
+above the number of replacements that a member may have missed, so that the empty configuration is
+the newer one everywhere."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/coordination/retries.py
+++ b/src/pondtiller/coordination/retries.py
@@ -1,11 +1,19 @@
-"""Retry budgets, jittered backoff and circuit breakers."""
+"""Retry budgets, jittered backoff and circuit breakers.
+
+Each owns its own count, in memory alone. Relies on its caller for the time and for chance, and does
+not send or wait itself.
+"""
 
 import random
 from dataclasses import dataclass
 from enum import Enum
 
 INITIAL_TOKENS = 5.0
+"""Retries that a budget has before any first try, so that a start beside a failing engine may retry
+at all. Chosen, not measured: bounds what a start adds to a failure."""
 MAXIMUM_TOKENS = 50.0
+"""Retries that a budget saves up at most. Chosen, not measured: bounds the burst of retries after a
+long quiet time; beyond it retries are a share of first tries."""
 
 
 class RetryBudget:
--- a/src/pondtiller/coordination/shares.py
+++ b/src/pondtiller/coordination/shares.py
@@ -14,9 +14,20 @@
 from pondtiller import wire
 
 LEASE_SECONDS = 3.0
+"""How long a share may be used, in seconds, counted by its holder from when it asked. Chosen, not
+measured: three rounds, so that a lost one takes no share away; what a lost holder had returns after
+it."""
 ROUND_SECONDS = 1.0
+"""Between two demands of a holder, in seconds. Chosen, not measured; in large groups `pace`
+stretches it, since an allocator's work follows demands a second."""
 LONGEST_PACE = 10.0
+"""Most that rounds and leases are stretched. Chosen, not measured: reached at 400 members. A book
+of another allocator does not name its leases, so it is honoured for this many times
+`LEASE_SECONDS`."""
 MEMBERS_AT_FULL_PACE = 40
+"""Members up to which rounds are not stretched; above, they are in proportion, so that one row
+takes 40 demands a second. Dividing one row among 340 holders took 15 % of a core with rounds of a
+second, 1.9 % with this, holders' side included; the bound to hold was 2.3 %."""
 
 
 def pace(members: int) -> float:
--- a/src/pondtiller/rollouts/candidates.py
+++ b/src/pondtiller/rollouts/candidates.py
@@ -4,6 +4,8 @@
 Looking at each engine for each sample costs samples times engines: 0.58 s of a core for 288 samples
 on 3,000 engines (`tools/bench_leader.py`), longer than a lease bears. So the engines are put in
 order once a tick by what they cost any sample, and only the first are compared for each one.
+
+Owns the order for one tick and one kind of sample. What an engine costs is said by `place_cost.py`.
 """
 
 from bisect import insort
--- a/src/pondtiller/rollouts/engine_need.py
+++ b/src/pondtiller/rollouts/engine_need.py
@@ -2,11 +2,15 @@
 
 Trainers ask for a step every few seconds, so what is open swings from nothing to a whole step and
 back. The need is therefore the highest of the last moments, not that of one moment.
+
+Owns the pace of work and the last moments of one service, for one term of a leader. Does not order
+engines: `scaling.py` decides how many from this.
 """
 
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from pondtiller.rollouts.sample_work import SampleWork, Stage
 
@@ -24,6 +28,11 @@
 """Whole runs after which what was seen before them weighs half."""
 
 
+LEAST_LEFT_SHARE = 0.1
+"""Part of a sample that counts as still to be made while its run goes on, however long it took.
+Chosen, not measured: a run that takes longer than expected still has its place."""
+
+
 @dataclass
 class PaceOfWork:
     """Place-seconds that an expected token costs, as whole runs tell it.
@@ -57,6 +66,34 @@
         return self.seconds / self.tokens
 
 
+class NeedLook(NamedTuple):
+    """Places that were needed at a moment, in seconds of the steady clock."""
+
+    at: float
+    places: float
+
+
+class StepNeed(NamedTuple):
+    """What a step's samples still need.
+
+    Attributes
+    ----------
+    samples
+        Samples that are not whole.
+    seconds
+        Place-seconds that make them.
+    due
+        When they are to be made, in seconds of the time of day.
+    """
+
+    samples: int
+    seconds: float
+    due: float
+
+
+NOTHING_NEEDED = StepNeed(0, 0.0, 0.0)
+
+
 @dataclass
 class EngineNeed:
     """What one service needs, as a peak of the last `PEAK_SECONDS`.
@@ -69,7 +106,7 @@
 
     pace: PaceOfWork = field(default_factory=PaceOfWork)
     since: float | None = None
-    _looks: deque[tuple[float, float]] = field(default_factory=deque)
+    _looks: deque[NeedLook] = field(default_factory=deque)
 
     def look(self, works: Iterable[SampleWork], now: float, wall_now: float) -> None:
         """Take what is open now."""
@@ -78,15 +115,15 @@
             return
         if self.since is None:
             self.since = now
-        self._looks.append((now, places_needed(works, per_token, now, wall_now)))
-        while self._looks[0][0] < now - PEAK_SECONDS:
+        self._looks.append(NeedLook(now, places_needed(works, per_token, now, wall_now)))
+        while self._looks[0].at < now - PEAK_SECONDS:
             self._looks.popleft()
 
     def peak_places(self, now: float) -> float | None:
         """Return places at engines that were needed at most; None until a peak was seen whole."""
         if self.since is None or now < self.since + PEAK_SECONDS:
             return None
-        return max((places for _, places in self._looks), default=0.0)
+        return max((look.places for look in self._looks), default=0.0)
 
 
 def places_needed(
@@ -96,17 +133,17 @@
 
     Never more than one place a sample: a sample cannot be made at two places at once.
     """
-    wanted: dict[str, tuple[int, float, float]] = {}
+    wanted: dict[str, StepNeed] = {}
     for work in works:
         if work.stage not in (Stage.WAITING, Stage.RUNNING):
             continue
         left = work.cost * seconds_per_token
         if work.stage is Stage.RUNNING:
-            left = max(left - (now - work.run_started), 0.1 * left)
+            left = max(left - (now - work.run_started), LEAST_LEFT_SHARE * left)
         due = work.accepted_at + TARGET_SHARE * work.route.step_seconds
-        samples, seconds, _ = wanted.get(work.step_id, (0, 0.0, 0.0))
-        wanted[work.step_id] = (samples + 1, seconds + left, due)
+        before = wanted.get(work.step_id, NOTHING_NEEDED)
+        wanted[work.step_id] = StepNeed(before.samples + 1, before.seconds + left, due)
     return sum(
-        min(samples, seconds / max(due - wall_now, SHORTEST_SECONDS))
-        for samples, seconds, due in wanted.values()
+        min(need.samples, need.seconds / max(need.due - wall_now, SHORTEST_SECONDS))
+        for need in wanted.values()
     )
--- a/src/pondtiller/rollouts/load_shares.py
+++ b/src/pondtiller/rollouts/load_shares.py
@@ -7,6 +7,8 @@
 Where there are more engines than a model's steps fill, a version goes to as many as they need.
 Answers the load of a large fleet with small steps: with 301 engines and steps of 96 samples a day
 took 1,108 orders, 0.364 of worth, and a leader's connection to each engine.
+
+Owns nothing. Does not say which engines these are (`load_choice.py`).
 """
 
 import math
--- a/src/pondtiller/rollouts/model_fleet.py
+++ b/src/pondtiller/rollouts/model_fleet.py
@@ -1,4 +1,8 @@
-"""The engines of each model as they are during one tick, found in one pass over all engines."""
+"""The engines of each model as they are during one tick, found in one pass over all engines.
+
+Owns nothing beyond the tick. Relies on the engine directory for which engines may get work. Does
+not say which of them load a version (`load_choice.py`).
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -6,7 +10,8 @@
 from pondtiller.routes.engines import Engine, EngineDirectory, EngineState, usual_pace
 
 SLOW_FACTOR = 2.0
-"""An engine this many times slower than the usual one is not counted on."""
+"""An engine this many times slower than the usual one is not counted on. Chosen, not measured:
+well beyond the 1.3 by which sound engines of one service differ."""
 
 
 @dataclass
--- a/src/pondtiller/rollouts/progress.py
+++ b/src/pondtiller/rollouts/progress.py
@@ -2,6 +2,9 @@
 
 Losing a text costs the time that it took to make, nothing else. So only runs that have lasted
 a while are kept, and each replica is sent only the events that it was not sent before.
+
+Owns what each replica was sent, for one term of a leader. The texts last at the replicas
+(`steplog/kept_texts.py`); a successor takes them into `unfinished_texts.py`.
 """
 
 import json
@@ -12,6 +15,10 @@
 from pondtiller.wire.steplog import SampleProgress
 
 WORTH_KEEPING_SECONDS = 0.5
+"""Age of a run from which on its text is sent to replicas, in seconds. Answers the load of a leader
+that sent every unfinished text each second: 8 MB at once to 13 replicas, behind which its
+heartbeats waited until it lost its lease. 0.5 s is also the time between two saves: a run that is
+younger costs that much again at most."""
 
 
 def pack_events(events: list[str]) -> bytes:
--- a/src/pondtiller/rollouts/run_news.py
+++ b/src/pondtiller/rollouts/run_news.py
@@ -1,6 +1,12 @@
-"""What a runner tells a leader of its runs: events gathered, ends, scores. No I/O."""
+"""What a runner tells a leader of its runs: events gathered, ends, scores. No I/O.
+
+Owns what is not sent yet; it is lost with the gateway, and its runs with it. The message's fields
+are JSON rows in the order of the types here. Does not say when news are sent
+(`gateway/runs/leader_runs.py`).
+"""
 
 import json
+from collections.abc import Sequence
 from typing import Any, NamedTuple
 
 from pondtiller.rollouts.sample_work import RunEnd, ScoreEnd
@@ -44,6 +50,25 @@
     request: str
 
 
+class EventPart(NamedTuple):
+    """Events of one run and version, numbered without a gap, as a row of the message.
+
+    Attributes
+    ----------
+    number
+        Of the first event.
+    first_age, last_age
+        How long before the message its first and last event came, in milliseconds.
+    """
+
+    run: int
+    number: int
+    version: int
+    first_age: int
+    last_age: int
+    data: list[str]
+
+
 class NewsGatherer:
     """Gathers what happens to all runs of a runner until it is told."""
 
@@ -78,17 +103,23 @@
     return parts
 
 
-def _part(events: list[RunEvent], now: float) -> list[Any]:
+def _part(events: list[RunEvent], now: float) -> EventPart:
     first, last = events[0], events[-1]
-    ages = [_milliseconds(first, now), _milliseconds(last, now)]
-    return [first.run, first.number, first.version, *ages, [event.data for event in events]]
+    return EventPart(
+        run=first.run,
+        number=first.number,
+        version=first.version,
+        first_age=_milliseconds(first, now),
+        last_age=_milliseconds(last, now),
+        data=[event.data for event in events],
+    )
 
 
 def _milliseconds(event: RunEvent, now: float) -> int:
     return max(0, int((now - event.at) * 1000))
 
 
-def _encode(rows: list[Any]) -> bytes:
+def _encode(rows: Sequence[EventPart | EndedRun | ScoredRun]) -> bytes:
     return json.dumps(rows).encode() if rows else b""
 
 
--- a/src/pondtiller/rollouts/runner_choice.py
+++ b/src/pondtiller/rollouts/runner_choice.py
@@ -3,6 +3,9 @@
 A runner holds the streams of its engines' runs, so that a leader hears of them a few times a
 second and not at each event. Those of an engine's zone come first: what an engine sends then
 stays in its zone until it is packed.
+
+Owns which runner serves which engine, for one term of a leader. Does not connect
+(`gateway/leader/run_links.py`).
 """
 
 from collections import Counter
--- a/src/pondtiller/rollouts/sample_work.py
+++ b/src/pondtiller/rollouts/sample_work.py
@@ -1,4 +1,8 @@
-"""What the sample scheduler works on: a sample's stages, its text, and the instructions."""
+"""What the sample scheduler works on: a sample's stages, its text, and the instructions.
+
+Types alone. `SampleWork` is what a leader knows of a sample during one term; `samples.py` owns the
+open ones and changes them, together with `run_table.py`. Does not decide anything.
+"""
 
 from dataclasses import dataclass, field
 from enum import Enum, StrEnum
--- a/src/pondtiller/rollouts/scaling.py
+++ b/src/pondtiller/rollouts/scaling.py
@@ -3,6 +3,9 @@
 A policy gets the engines as they are and the need (`engine_need`), and returns orders. An order
 names a number, so the same one twice is one. Three policies: leave the engines as they are, order
 by need, and order by need with engines that may be taken away, all of a zone at once.
+
+Owns what was ordered last in each zone, for one term of a leader. Does not send orders, and does
+not say how large the need is.
 """
 
 import math
--- a/src/pondtiller/rollouts/shedding.py
+++ b/src/pondtiller/rollouts/shedding.py
@@ -9,6 +9,9 @@
 up: what is behind is made when places are free.
 
 While everything fits, nothing is put behind, and the order stays as it is. No I/O.
+
+Owns nothing but the mean time of runs. `turns.py` looks now and then and keeps the order in force;
+within a group samples begin as `start_order.py` says.
 """
 
 from collections.abc import Iterable
@@ -22,7 +25,8 @@
 decide between steps of the same moment; with 1 s the last of three ranks got one group in a hundred
 in time, with 0.2 s each of them 51 or more (test_shedding.py, 60 s)."""
 RATE_WEIGHT = 0.1
-"""Of one run in the mean time of runs; ten runs are what a few engines make in a second."""
+"""Of one run in the mean time of runs; ten runs are what a few engines make in a second. Chosen,
+not measured."""
 
 
 class GroupLoad(NamedTuple):
--- a/src/pondtiller/rollouts/step_loads.py
+++ b/src/pondtiller/rollouts/step_loads.py
@@ -1,4 +1,7 @@
-"""What is left of open steps, counted by group from their samples. No I/O."""
+"""What is left of open steps, counted by group from their samples. No I/O.
+
+Owns nothing: what `shedding.py` decides by is counted here from the scheduler's samples.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
--- a/src/pondtiller/usage/ledger.py
+++ b/src/pondtiller/usage/ledger.py
@@ -1,4 +1,8 @@
-"""What a leader knows of all daemons' counts. No I/O."""
+"""What a leader knows of all daemons' counts. No I/O.
+
+Owns the counts of one term; what lasts is in the log (`reports.py`). Relies on counts that only
+grow, so that one told twice does no harm.
+"""
 
 from collections.abc import Iterable
 from typing import NamedTuple
--- a/src/pondtiller/usage/reports.py
+++ b/src/pondtiller/usage/reports.py
@@ -2,6 +2,9 @@
 
 What is reported for a window is written to the log before it is sent for the first time. Every
 later send, by this leader or a successor, repeats what the log holds.
+
+Owns the windows that are open in one term; what lasts is in the log, under `use/`. Relies on the
+ledger for the counts and on its caller to write and send. Does not count (`meter.py`).
 """
 
 import json
@@ -26,7 +29,12 @@
 """A window is closed this long before its report is due, whoever is missing: enough for the pause
 of `lease` after another holder, or for a few repeats."""
 RETRY_SECONDS = 0.4
+"""Until a report that was not taken is sent again the first time, in seconds; each further wait is
+twice as long, less up to a half by chance. Chosen, not measured: `SEND_MARGIN_SECONDS` holds three
+or more sends."""
 LONGEST_RETRY_SECONDS = 2.0
+"""Longest of these waits, in seconds. Chosen, not measured: half of `SEND_MARGIN_SECONDS`; a report
+counts once, however often it is sent."""
 
 
 @dataclass
