--- a/src/pondtiller/platform/step_format.py
+++ b/src/pondtiller/platform/step_format.py
@@ -9,7 +9,7 @@
 
 from pondtiller.platform import names
 from pondtiller.platform.headers import CALLER_HEADERS
-from pondtiller.rollouts.steps import add_sample
+from pondtiller.rollouts.step_record import add_sample
 from pondtiller.routes.tenants import owned_name
 from pondtiller.wire.steplog import Header, ResultsPage, Sample, SampleResult, Scorer, Step
 
