--- a/src/pondtiller/serve/core/events.py
+++ b/src/pondtiller/serve/core/events.py
@@ -1,11 +1,16 @@
-"""Everything that can happen to a daemon, as typed events."""
+"""Everything that can happen to a daemon, as typed events.
+
+Drivers make the events that come from outside; those marked internal are made by one system for
+another within a tick. A new one goes into `Event` and, with the system that it wakes, into the
+table of `systems.tick`.
+"""
 
 from dataclasses import dataclass
 
 from pondtiller.errors import Ran
 from pondtiller.serve.core.entities import FinishedRequest, RequestSpec, Sample, StepKey
 from pondtiller.serve.core.tokens import Chunk
-from pondtiller.wire.envelope import Letter
+from pondtiller.wire.envelope import Letter, PeerMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -263,3 +268,72 @@
 
     request_id: str
     row: str
+
+
+@dataclass(frozen=True, slots=True)
+class _FromPeer:
+    """Internal: base of the typed messages that other systems read."""
+
+    sender: str
+    incarnation: int
+    message: PeerMessage
+
+
+@dataclass(frozen=True, slots=True)
+class RegisterMessageArrived(_FromPeer):
+    """Internal: a message of the registers."""
+
+
+@dataclass(frozen=True, slots=True)
+class ShareMessageArrived(_FromPeer):
+    """Internal: a demand for, or a grant of, a share of a limit."""
+
+
+@dataclass(frozen=True, slots=True)
+class StatusMessageArrived(_FromPeer):
+    """Internal: a member's status report."""
+
+
+@dataclass(frozen=True, slots=True)
+class DocumentsAdopted:
+    """Internal: a peer sent a newer document."""
+
+
+TrainerCalled = StepOpened | SamplesRead | SamplesAcknowledged | VersionPublished
+"""Calls of trainers, each answered by its `call_id`."""
+
+PeerMessageArrived = RegisterMessageArrived | ShareMessageArrived | StatusMessageArrived
+"""Typed messages of peers, opened from letters by `systems.peers`."""
+
+Event = (
+    LetterArrived
+    | RequestArrived
+    | CallerLeft
+    | ChunkArrived
+    | AttemptFailed
+    | EngineReported
+    | EnginePollFailed
+    | OrderAnswered
+    | StoreListed
+    | StoreWatched
+    | StoreWriteEnded
+    | StoreFailed
+    | StepOpened
+    | SamplesRead
+    | SamplesAcknowledged
+    | VersionPublished
+    | TrainerLeft
+    | ScoreArrived
+    | DrainRequested
+    | RequestFinished
+    | SampleCommitted
+    | RequestQueued
+    | ClaimNeeded
+    | RolloutStarted
+    | ShareObtained
+    | RegisterMessageArrived
+    | ShareMessageArrived
+    | StatusMessageArrived
+    | DocumentsAdopted
+)
+"""Closed list of what an inbox and a batch hold."""
--- a/src/pondtiller/serve/core/world.py
+++ b/src/pondtiller/serve/core/world.py
@@ -1,24 +1,27 @@
-"""All state of one daemon, its inbox and its outbox."""
+"""All state of one daemon, its inbox and its outbox.
+
+Lasts as long as the process: what must outlive it is in the registers of other members, in the
+journal of this one's acceptor, or in the object service. Does no I/O and reads no clock: a driver
+(`daemon.runtime`, or the simulation) puts events into the inbox, calls `systems.tick.tick`, and
+carries out what is in the outbox. What the state means is decided by the systems.
+"""
 
 import random
-from collections.abc import Callable, KeysView
-from dataclasses import dataclass, field
-from enum import StrEnum
-from typing import Any, TypeVar
+from collections.abc import Callable
 
 from pondtiller.address import Address
 from pondtiller.coordination.deadlines import DeadlineIndex
 from pondtiller.coordination.documents import DocumentReplica
 from pondtiller.coordination.fair_queue import FairQueue
-from pondtiller.coordination.member import Member
-from pondtiller.coordination.membership import Membership, MembershipSettings
+from pondtiller.coordination.membership import Membership
 from pondtiller.coordination.outbound import Outbound
 from pondtiller.coordination.registers.acceptor import Acceptor
-from pondtiller.coordination.registers.configuration import Replica, ReplicaConfiguration
+from pondtiller.coordination.registers.configuration import Replica
 from pondtiller.coordination.registers.proposer import Proposer, RegisterOutcome
 from pondtiller.coordination.registers.reconfigurer import Reconfigurer
 from pondtiller.coordination.retries import RetryBudget
 from pondtiller.coordination.shares import Allocator, HeldShare
+from pondtiller.serve.core.batch import Batch
 from pondtiller.serve.core.entities import (
     Attempt,
     Engine,
@@ -29,178 +32,23 @@
     Step,
     StepKey,
 )
-from pondtiller.serve.core.instructions import (
-    EngineOrder,
-    Instruction,
-    LogEvent,
-    LogField,
-    WriteStore,
+from pondtiller.serve.core.events import Event
+from pondtiller.serve.core.instructions import Instruction, LogEvent, LogField, WriteStore
+from pondtiller.serve.core.timers import Timer, TimerKind
+from pondtiller.serve.core.views import (
+    EngineDuty,
+    MemberReport,
+    PrefixHint,
+    StoredReplicas,
+    StoreView,
 )
-from pondtiller.serve.core.reports import DaemonReport
+from pondtiller.serve.core.world_settings import WorldSettings
 from pondtiller.table.sheet import Row, Sheet
 
-EventType = TypeVar("EventType")
 FactsBasis = tuple[int, int, int, tuple[tuple[str, int], ...]]
 OutcomeHandler = Callable[["World", RegisterOutcome, float], None]
 
 
-class TimerKind(StrEnum):
-    """What a timer of the world stands for."""
-
-    MEMBERSHIP = "membership"
-    PROPOSER = "proposer"
-    RECONFIGURER = "reconfigurer"
-    REPAIR = "repair"
-    SWEEP = "sweep"
-    REQUEST_DEADLINE = "request_deadline"
-    ADMISSION = "admission"
-    FOLLOW_CLAIM = "follow_claim"
-    ATTEMPT_SILENCE = "attempt_silence"
-    DISPATCH = "dispatch"
-    POLL_ENGINE = "poll_engine"
-    STORE = "store"
-    STORE_WRITE = "store_write"
-    READINESS = "readiness"
-    SHARE_DEMAND = "share_demand"
-    SHARE_ROUND = "share_round"
-    STEWARD = "steward"
-    ORDER_TIMEOUT = "order_timeout"
-    SAMPLE_POLL = "sample_poll"
-    SCORE = "score"
-    IDLE_STEP = "idle_step"
-    STATUS = "status"
-    DRAIN = "drain"
-
-
-@dataclass(frozen=True, slots=True)
-class Timer:
-    """A deadline of the world: its kind and the entity that it belongs to."""
-
-    kind: TimerKind
-    key: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class Mechanisms:
-    """Switches for tests that show what each mechanism prevents; all on in service."""
-
-    claims: bool = True
-    staleness_checks: bool = True
-    offset_checks: bool = True
-    truthful_refusals: bool = True
-    leaving_marks: bool = True
-    drain: bool = True
-    forward_only_documents: bool = True
-    slot_cursor: bool = True
-    version_segments: bool = True
-    share_leases: bool = True
-
-
-@dataclass(frozen=True, slots=True)
-class WorldSettings:
-    """What a daemon knows of itself at the start.
-
-    Attributes
-    ----------
-    member
-        This daemon as others shall see it.
-    seeds
-        Members to contact first.
-    shard_count
-        Register shards that a first configuration gets.
-    replica_count
-        Replicas of a shard.
-    """
-
-    member: Member
-    seeds: tuple[Member, ...]
-    membership: MembershipSettings = field(default_factory=MembershipSettings)
-    shard_count: int = 4
-    replica_count: int = 5
-    mechanisms: Mechanisms = field(default_factory=Mechanisms)
-
-
-class Batch:
-    """The events of one pass, by type."""
-
-    def __init__(self, events: list[Any]) -> None:
-        self._by_type: dict[type, list[Any]] = {}
-        for event in events:
-            self.add(event)
-
-    @property
-    def types(self) -> KeysView[type]:
-        """Types of the events in the batch."""
-        return self._by_type.keys()
-
-    def add(self, event: Any) -> None:
-        """Add an event for the systems that follow in this pass."""
-        self._by_type.setdefault(type(event), []).append(event)
-
-    def of(self, event_type: type[EventType]) -> list[EventType]:
-        """Return the events of one type, in order of arrival."""
-        return self._by_type.get(event_type, [])
-
-
-@dataclass(slots=True)
-class StoreView:
-    """What this daemon knows of the platform's object service.
-
-    Attributes
-    ----------
-    listed
-        Whether a list was answered since the start.
-    revision
-        Service-wide revision up to which changes were seen.
-    answered_at
-        Time of the latest answer, None where there was none.
-    """
-
-    listed: bool = False
-    revision: int = 0
-    answered_at: float | None = None
-    is_busy: bool = False
-    outdated: bool = False
-
-
-@dataclass(slots=True)
-class StoredReplicas:
-    """The object service's copy of the register configuration, as last seen."""
-
-    revision: int = 0
-    configuration: ReplicaConfiguration = field(default_factory=ReplicaConfiguration)
-
-
-@dataclass(slots=True)
-class EngineDuty:
-    """A steward's knowledge of one engine."""
-
-    fence: int = 0
-    minimum_fence: int = 0
-    fence_operation: int | None = None
-    order_id: str = ""
-    order: EngineOrder | None = None
-    prefetched: dict[str, int] = field(default_factory=dict)
-    failures: int = 0
-    wait_until: float = 0.0
-
-
-@dataclass(frozen=True, slots=True)
-class PrefixHint:
-    """Engine to which a prompt's beginning was sent last, and when."""
-
-    engine: str
-    at: float
-
-
-@dataclass(slots=True)
-class MemberReport:
-    """Latest status report of a member, kept by the zone's status writer."""
-
-    report: DaemonReport
-    heard_at: float
-
-
 class World:
     """Entity tables and coordination parts of one daemon.
 
@@ -220,7 +68,7 @@
         self.zone = member.zone
         self.incarnation = member.incarnation
         self.source = source
-        self.inbox: list[Any] = []
+        self.inbox: list[Event] = []
         self.batch = Batch([])
         self.outbox: list[Instruction] = []
         self.peer_messages: list[Outbound] = []
@@ -280,7 +128,7 @@
         self._sequence += 1
         return f"{prefix}-{self.name}-{self.incarnation}-{self._sequence}"
 
-    def emit(self, event: Any) -> None:
+    def emit(self, event: Event) -> None:
         """Add an event for the next pass of this tick."""
         self.inbox.append(event)
 
--- a/src/pondtiller/serve/daemon/engine_client.py
+++ b/src/pondtiller/serve/daemon/engine_client.py
@@ -14,6 +14,7 @@
     ChunkArrived,
     EnginePollFailed,
     EngineReported,
+    Event,
     OrderAnswered,
     OrderResult,
     VersionReport,
@@ -27,7 +28,7 @@
 """Status of an engine that refuses what it has not begun."""
 DATA_PREFIX = b"data: "
 
-Post = Callable[[object], Awaitable[None]]
+Post = Callable[[Event], Awaitable[None]]
 
 
 class ChunkBody(BaseModel):
--- a/src/pondtiller/serve/daemon/platform_client.py
+++ b/src/pondtiller/serve/daemon/platform_client.py
@@ -10,6 +10,7 @@
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 from pondtiller.serve.core.constants import WATCH_SECONDS
 from pondtiller.serve.core.events import (
+    Event,
     ScoreArrived,
     StoredObject,
     StoreFailed,
@@ -29,7 +30,7 @@
 """Another write came first."""
 OK_STATUSES = (200, 201)
 
-Post = Callable[[object], Awaitable[None]]
+Post = Callable[[Event], Awaitable[None]]
 
 
 class Metadata(BaseModel):
--- a/src/pondtiller/serve/daemon/process.py
+++ b/src/pondtiller/serve/daemon/process.py
@@ -13,7 +13,8 @@
 from pondtiller.httpio.server import Exchange, bind_tcp, failure_response, serve_http
 from pondtiller.process import clock, logs
 from pondtiller.serve.core.events import DrainRequested
-from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.core.world import World
+from pondtiller.serve.core.world_settings import WorldSettings
 from pondtiller.serve.daemon import metrics
 from pondtiller.serve.daemon.caller_api import CallerApi
 from pondtiller.serve.daemon.engine_client import EngineClient
--- a/src/pondtiller/serve/daemon/runtime.py
+++ b/src/pondtiller/serve/daemon/runtime.py
@@ -6,7 +6,7 @@
 
 from pondtiller.process import clock, logs
 from pondtiller.process.spawner import Spawner
-from pondtiller.serve.core.events import LetterArrived
+from pondtiller.serve.core.events import Event, LetterArrived
 from pondtiller.serve.core.instructions import (
     AnswerSamples,
     AnswerTrainer,
@@ -82,7 +82,7 @@
         self._engines = engines
         self._platform = platform
 
-    async def post(self, event: object) -> None:
+    async def post(self, event: Event) -> None:
         """Hand an event to the world; the loop ticks soon after."""
         self.world.inbox.append(event)
         await self._arrived.set()
--- a/src/pondtiller/serve/daemon/trainer_api.py
+++ b/src/pondtiller/serve/daemon/trainer_api.py
@@ -15,6 +15,7 @@
     SamplesAcknowledged,
     SamplesRead,
     StepOpened,
+    TrainerCalled,
     TrainerLeft,
     VersionPublished,
 )
@@ -104,7 +105,7 @@
             return
         await exchange.respond(await self._call(exchange, call_id, event))
 
-    def _event(self, call_id: str, exchange: Exchange) -> object | None:
+    def _event(self, call_id: str, exchange: Exchange) -> TrainerCalled | None:
         request = exchange.request
         forwarded = FORWARDED in request.query
         path, is_post = request.path, request.method == "POST"
@@ -127,7 +128,7 @@
             return SamplesRead(call_id, key, query.cursor, query.wait_seconds, forwarded)
         return None
 
-    async def _call(self, exchange: Exchange, call_id: str, event: object) -> HttpResponse:
+    async def _call(self, exchange: Exchange, call_id: str, event: TrainerCalled) -> HttpResponse:
         queue = self._runtime.expect(call_id)
         try:
             await self._runtime.post(event)
--- a/src/pondtiller/serve/simulation/cluster_settings.py
+++ b/src/pondtiller/serve/simulation/cluster_settings.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pondtiller.serve.core.world import Mechanisms
+from pondtiller.serve.core.world_settings import Mechanisms
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/serve/simulation/daemon.py
+++ b/src/pondtiller/serve/simulation/daemon.py
@@ -8,9 +8,11 @@
 from pondtiller.serve.core.events import (
     CallerLeft,
     DrainRequested,
+    Event,
     LetterArrived,
     RequestArrived,
     ScoreArrived,
+    TrainerCalled,
 )
 from pondtiller.serve.core.instructions import (
     AnswerSamples,
@@ -34,7 +36,8 @@
     WriteJournal,
     WriteStore,
 )
-from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.core.world import World
+from pondtiller.serve.core.world_settings import WorldSettings
 from pondtiller.serve.emulator.scorer import score_sample
 from pondtiller.serve.simulation.cluster_settings import ClusterSettings
 from pondtiller.serve.simulation.engines import EngineNode
@@ -114,7 +117,7 @@
         self._incarnation = 0
         self._life = 0
         self._paused = False
-        self._held: list[object] = []
+        self._held: list[Event] = []
         self._wakeup: float | None = None
         self._table_revision = 0
         self.world: World
@@ -170,7 +173,7 @@
         """Return whether a new connection gets an answer."""
         return self.alive
 
-    def deliver(self, event: object) -> None:
+    def deliver(self, event: Event) -> None:
         """Hand an event to the daemon."""
         if not self.alive:
             return
@@ -180,10 +183,10 @@
         self.world.inbox.append(event)
         self._wake_at(self.around.scheduler.now)
 
-    def deliver_to(self, life: int) -> Callable[[object], None]:
+    def deliver_to(self, life: int) -> Callable[[Event], None]:
         """Return a way to deliver that ends with this life of the process."""
 
-        def deliver(event: object) -> None:
+        def deliver(event: Event) -> None:
             if life == self._life:
                 self.deliver(event)
 
@@ -199,7 +202,9 @@
         if self.caller_answers.pop(request_id, None) is not None:
             self.deliver(CallerLeft(request_id))
 
-    def call(self, call_id: str, event: object, answer: Callable[[TrainerAnswer], None]) -> None:
+    def call(
+        self, call_id: str, event: TrainerCalled, answer: Callable[[TrainerAnswer], None]
+    ) -> None:
         """A trainer calls."""
         self.trainer_answers[call_id] = answer
         self.deliver(event)
--- a/src/pondtiller/serve/simulation/engines.py
+++ b/src/pondtiller/serve/simulation/engines.py
@@ -9,6 +9,7 @@
     ChunkArrived,
     EnginePollFailed,
     EngineReported,
+    Event,
     OrderAnswered,
     OrderResult,
     VersionReport,
@@ -28,7 +29,7 @@
 CONNECT_TIMEOUT_SECONDS = 2.0
 """After which a caller of an engine that cannot be reached knows it. Modelled."""
 
-Deliver = Callable[[object], None]
+Deliver = Callable[[Event], None]
 
 
 @dataclass(slots=True)
@@ -119,7 +120,7 @@
         )
         self._reply(stream, failure)
 
-    def _reply(self, stream: _Stream, event: object) -> None:
+    def _reply(self, stream: _Stream, event: Event) -> None:
         """Send an event back in order; a cut breaks the stream."""
         if self.network.is_cut(self.zone, stream.daemon_zone):
             return
--- a/src/pondtiller/serve/simulation/operators.py
+++ b/src/pondtiller/serve/simulation/operators.py
@@ -4,6 +4,7 @@
 from dataclasses import dataclass, field
 
 from pondtiller.serve.core.events import (
+    Event,
     StoredObject,
     StoreListed,
     StoreWriteEnded,
@@ -74,7 +75,7 @@
                 lambda event: self._take_write(editor, event),
             )
 
-    def _take_read(self, editor: TableEditor, event: object) -> None:
+    def _take_read(self, editor: TableEditor, event: Event) -> None:
         if not isinstance(event, StoreListed):
             editor.note_lost()
             self.scheduler.after(RETRY_SECONDS, lambda: self._continue(editor))
@@ -84,7 +85,7 @@
         editor.note_read(read.revision, read.body)
         self._continue(editor)
 
-    def _take_write(self, editor: TableEditor, event: object) -> None:
+    def _take_write(self, editor: TableEditor, event: Event) -> None:
         assert isinstance(event, StoreWriteEnded)
         if event.result == StoreWriteResult.WRITTEN:
             editor.note_written(event.revision)
--- a/src/pondtiller/serve/simulation/platform.py
+++ b/src/pondtiller/serve/simulation/platform.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 
 from pondtiller.serve.core.events import (
+    Event,
     StoredObject,
     StoreFailed,
     StoreListed,
@@ -26,7 +27,7 @@
 KEPT_OLD_READS = 20
 """Earlier states of which one may be read in place of the last. Modelled: reads may be old."""
 
-Deliver = Callable[[object], None]
+Deliver = Callable[[Event], None]
 
 
 @dataclass(slots=True)
--- a/src/pondtiller/serve/simulation/run.py
+++ b/src/pondtiller/serve/simulation/run.py
@@ -4,7 +4,7 @@
 
 from pydantic import BaseModel, ConfigDict
 
-from pondtiller.serve.core.world import Mechanisms
+from pondtiller.serve.core.world_settings import Mechanisms
 from pondtiller.serve.deployment import Deployment
 from pondtiller.serve.simulation.checks import CheckSettings, Property, Violation, check_all
 from pondtiller.serve.simulation.cluster import Cluster
--- a/src/pondtiller/serve/simulation/tests/test_checks.py
+++ b/src/pondtiller/serve/simulation/tests/test_checks.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pondtiller.serve.core.world import Mechanisms
+from pondtiller.serve.core.world_settings import Mechanisms
 from pondtiller.serve.deployment import load_deployment
 from pondtiller.serve.simulation.checks import Property
 from pondtiller.serve.simulation.cluster import Cluster
--- a/src/pondtiller/serve/simulation/trainers.py
+++ b/src/pondtiller/serve/simulation/trainers.py
@@ -10,6 +10,7 @@
     SamplesAcknowledged,
     SamplesRead,
     StepOpened,
+    TrainerCalled,
     TrainerLeft,
     VersionPublished,
 )
@@ -93,7 +94,7 @@
         node.call(call_id, event, lambda answer: self._answer(call_id, answer))
         self._scheduler.after(TIMEOUT_SECONDS, lambda: self._lost(call_id))
 
-    def _event(self, call_id: str, call: TrainerCall, forwarded: bool) -> object:
+    def _event(self, call_id: str, call: TrainerCall, forwarded: bool) -> TrainerCalled:
         name = self.model.settings.name
         match call:
             case OpenStep():
--- a/src/pondtiller/serve/systems/admission.py
+++ b/src/pondtiller/serve/systems/admission.py
@@ -5,7 +5,8 @@
 from pondtiller.serve.core.entities import Request, RequestSpec, RequestState
 from pondtiller.serve.core.events import ClaimNeeded, RequestArrived, RolloutStarted, ShareObtained
 from pondtiller.serve.core.instructions import FailAnswer
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle, limits
 from pondtiller.table.sheet import Row, RowKind
 
--- a/src/pondtiller/serve/systems/attempts.py
+++ b/src/pondtiller/serve/systems/attempts.py
@@ -7,8 +7,9 @@
 from pondtiller.serve.core.entities import Attempt, Request
 from pondtiller.serve.core.events import AttemptFailed, ChunkArrived
 from pondtiller.serve.core.instructions import SendText
+from pondtiller.serve.core.timers import TimerKind
 from pondtiller.serve.core.tokens import Chunk, extend_segments
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle
 from pondtiller.serve.systems.peers import note_leaving
 
--- a/src/pondtiller/serve/systems/claims.py
+++ b/src/pondtiller/serve/systems/claims.py
@@ -11,7 +11,8 @@
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import Request, RequestState
 from pondtiller.serve.core.events import ClaimNeeded
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle
 from pondtiller.serve.systems.registers import change_register, is_available
 
--- a/src/pondtiller/serve/systems/dispatch.py
+++ b/src/pondtiller/serve/systems/dispatch.py
@@ -4,7 +4,9 @@
 from pondtiller.serve.core.entities import Attempt, Engine, Request, RequestState
 from pondtiller.serve.core.events import RequestQueued
 from pondtiller.serve.core.instructions import EngineRequest, StartAttempt
-from pondtiller.serve.core.world import PrefixHint, TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.views import PrefixHint
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.engine_choice import cheaper_of_two, prefix_key
 from pondtiller.serve.systems.fleet import is_usable
 
--- a/src/pondtiller/serve/systems/drain.py
+++ b/src/pondtiller/serve/systems/drain.py
@@ -2,7 +2,8 @@
 
 from pondtiller.serve.core.events import DrainRequested
 from pondtiller.serve.core.instructions import Drained
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.registers import candidates
 
 CHECK_SECONDS = 0.2
--- a/src/pondtiller/serve/systems/fleet.py
+++ b/src/pondtiller/serve/systems/fleet.py
@@ -9,7 +9,8 @@
 from pondtiller.serve.core.entities import Engine
 from pondtiller.serve.core.events import EnginePollFailed, EngineReported
 from pondtiller.serve.core.instructions import PollEngine
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.peers import note_leaving, note_version
 
 
--- a/src/pondtiller/serve/systems/lifecycle.py
+++ b/src/pondtiller/serve/systems/lifecycle.py
@@ -8,7 +8,8 @@
 from pondtiller.serve.core.entities import FinishedRequest, Request, RequestState
 from pondtiller.serve.core.events import RequestFinished, RequestQueued
 from pondtiller.serve.core.instructions import CancelAttempt, FailAnswer, FinishAnswer
-from pondtiller.serve.core.world import OutcomeHandler, TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import OutcomeHandler, World
 from pondtiller.serve.systems import limits
 from pondtiller.serve.systems.registers import change_register
 
--- a/src/pondtiller/serve/systems/limits.py
+++ b/src/pondtiller/serve/systems/limits.py
@@ -14,9 +14,9 @@
 from pondtiller.hashing import owner
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import RequestState
-from pondtiller.serve.core.events import ShareObtained
-from pondtiller.serve.core.world import TimerKind, World
-from pondtiller.serve.systems.peers import ShareMessageArrived
+from pondtiller.serve.core.events import ShareMessageArrived, ShareObtained
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.registers import change_register, is_available
 
 IDLE_HEADROOM = 1
--- a/src/pondtiller/serve/systems/peers.py
+++ b/src/pondtiller/serve/systems/peers.py
@@ -1,44 +1,20 @@
 """Messages between daemons: opens letters, merges gossip, addresses what is to be sent."""
 
-from dataclasses import dataclass
-
 from pondtiller import wire
 from pondtiller.coordination.outbound import Outbound
-from pondtiller.serve.core.events import LetterArrived
+from pondtiller.serve.core.events import (
+    DocumentsAdopted,
+    LetterArrived,
+    PeerMessageArrived,
+    RegisterMessageArrived,
+    ShareMessageArrived,
+    StatusMessageArrived,
+)
 from pondtiller.serve.core.instructions import SendPeer
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.wire.envelope import GOSSIPING, Letter, PeerMessage
 
-
-@dataclass(frozen=True, slots=True)
-class PeerMessageArrived:
-    """Internal: base of the typed messages that other systems read."""
-
-    sender: str
-    incarnation: int
-    message: PeerMessage
-
-
-@dataclass(frozen=True, slots=True)
-class RegisterMessageArrived(PeerMessageArrived):
-    """Internal: a message of the registers."""
-
-
-@dataclass(frozen=True, slots=True)
-class ShareMessageArrived(PeerMessageArrived):
-    """Internal: a demand for, or a grant of, a share of a limit."""
-
-
-@dataclass(frozen=True, slots=True)
-class StatusMessageArrived(PeerMessageArrived):
-    """Internal: a member's status report."""
-
-
-@dataclass(frozen=True, slots=True)
-class DocumentsAdopted:
-    """Internal: a peer sent a newer document."""
-
-
 REGISTER_MESSAGES = (
     wire.Prepare,
     wire.Promise,
--- a/src/pondtiller/serve/systems/readiness.py
+++ b/src/pondtiller/serve/systems/readiness.py
@@ -1,7 +1,8 @@
 """Decides when a daemon may serve: not before it knows the newest table."""
 
 from pondtiller.serve.core import constants
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 CHECK_SECONDS = 0.2
--- a/src/pondtiller/serve/systems/registers.py
+++ b/src/pondtiller/serve/systems/registers.py
@@ -18,9 +18,10 @@
 from pondtiller.coordination.registers.reconfigurer import Candidate, SuccessorProposal
 from pondtiller.hashing import owner
 from pondtiller.serve.core import constants
+from pondtiller.serve.core.events import RegisterMessageArrived
 from pondtiller.serve.core.instructions import WriteJournal, WriteStore
-from pondtiller.serve.core.world import OutcomeHandler, TimerKind, World
-from pondtiller.serve.systems.peers import RegisterMessageArrived
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import OutcomeHandler, World
 
 ABANDONED_SEAL_SECONDS = 3.0
 """A shard that stays sealed for so long was left by who sealed it, and another one finishes.
--- a/src/pondtiller/serve/systems/requests.py
+++ b/src/pondtiller/serve/systems/requests.py
@@ -3,7 +3,8 @@
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.serve.core.entities import Request, RequestState
 from pondtiller.serve.core.events import CallerLeft
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle
 
 
--- a/src/pondtiller/serve/systems/slots.py
+++ b/src/pondtiller/serve/systems/slots.py
@@ -25,8 +25,9 @@
     ScoreArrived,
 )
 from pondtiller.serve.core.instructions import ScoreSample
+from pondtiller.serve.core.timers import TimerKind
 from pondtiller.serve.core.tokens import oldest_version
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle
 from pondtiller.table.sheet import Row, RowKind
 
--- a/src/pondtiller/serve/systems/status.py
+++ b/src/pondtiller/serve/systems/status.py
@@ -9,10 +9,12 @@
 from pondtiller.hashing import owner
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import RowCounts
+from pondtiller.serve.core.events import StatusMessageArrived
 from pondtiller.serve.core.instructions import WriteStore
 from pondtiller.serve.core.reports import DaemonReport, RowFigures
-from pondtiller.serve.core.world import MemberReport, TimerKind, World
-from pondtiller.serve.systems.peers import StatusMessageArrived
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.views import MemberReport
+from pondtiller.serve.core.world import World
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 FORGET_SECONDS = 60.0
--- a/src/pondtiller/serve/systems/steps.py
+++ b/src/pondtiller/serve/systems/steps.py
@@ -24,7 +24,8 @@
     FailTrainer,
     RedirectTrainer,
 )
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import slots
 from pondtiller.serve.systems.peers import note_version
 
--- a/src/pondtiller/serve/systems/steward.py
+++ b/src/pondtiller/serve/systems/steward.py
@@ -13,7 +13,9 @@
 from pondtiller.serve.core.entities import Engine
 from pondtiller.serve.core.events import OrderAnswered, OrderResult
 from pondtiller.serve.core.instructions import EngineOrder, OrderEngine
-from pondtiller.serve.core.world import EngineDuty, TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.views import EngineDuty
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.registers import change_register
 
 CHECK_SECONDS = 0.5
--- a/src/pondtiller/serve/systems/store.py
+++ b/src/pondtiller/serve/systems/store.py
@@ -19,7 +19,9 @@
     StoreWriteResult,
 )
 from pondtiller.serve.core.instructions import ListStore, WatchStore
-from pondtiller.serve.core.world import StoredReplicas, TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.views import StoredReplicas
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import fleet, peers, registers
 from pondtiller.table import sheet
 
--- a/src/pondtiller/serve/systems/tests/test_claims.py
+++ b/src/pondtiller/serve/systems/tests/test_claims.py
@@ -16,7 +16,8 @@
 from pondtiller.serve.core.entities import RequestSpec
 from pondtiller.serve.core.events import CallerLeft, LetterArrived, RequestArrived
 from pondtiller.serve.core.instructions import FailAnswer, SendPeer, StartAttempt
-from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.core.world import World
+from pondtiller.serve.core.world_settings import WorldSettings
 from pondtiller.serve.systems.registers import spread_configuration
 from pondtiller.serve.systems.tick import tick
 from pondtiller.table.sheet import DOCUMENT_NAME, Row, RowKind, Sheet
--- a/src/pondtiller/serve/systems/tick.py
+++ b/src/pondtiller/serve/systems/tick.py
@@ -8,7 +8,9 @@
 from dataclasses import dataclass
 
 from pondtiller.serve.core import events
-from pondtiller.serve.core.world import Batch, TimerKind, World
+from pondtiller.serve.core.batch import Batch
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import (
     admission,
     attempts,
@@ -58,13 +60,13 @@
         events.StoreWatched,
         events.StoreFailed,
         events.StoreWriteEnded,
-        peers.DocumentsAdopted,
+        events.DocumentsAdopted,
         TimerKind.STORE,
         TimerKind.STORE_WRITE,
     ),
     _system(
         registers.run,
-        peers.RegisterMessageArrived,
+        events.RegisterMessageArrived,
         TimerKind.PROPOSER,
         TimerKind.RECONFIGURER,
         TimerKind.REPAIR,
@@ -72,7 +74,7 @@
     ),
     _system(readiness.run, TimerKind.READINESS),
     _system(fleet.run, events.EngineReported, events.EnginePollFailed, TimerKind.POLL_ENGINE),
-    _system(limits.run, peers.ShareMessageArrived, TimerKind.SHARE_DEMAND, TimerKind.SHARE_ROUND),
+    _system(limits.run, events.ShareMessageArrived, TimerKind.SHARE_DEMAND, TimerKind.SHARE_ROUND),
     _system(slots.run, events.RequestFinished, events.ScoreArrived, TimerKind.SCORE),
     _system(
         steps.run,
@@ -97,7 +99,7 @@
     _system(requests.run, events.CallerLeft, TimerKind.REQUEST_DEADLINE),
     _system(dispatch.run, events.RequestQueued, TimerKind.DISPATCH),
     _system(steward.run, events.OrderAnswered, TimerKind.STEWARD, TimerKind.ORDER_TIMEOUT),
-    _system(status.run, peers.StatusMessageArrived, TimerKind.STATUS),
+    _system(status.run, events.StatusMessageArrived, TimerKind.STATUS),
     _system(drain.run, events.DrainRequested, TimerKind.DRAIN),
 )
 
--- a/tools/bench_parts.py
+++ b/tools/bench_parts.py
@@ -22,7 +22,8 @@
 from pondtiller.coordination.shares import ROUND_SECONDS, Allocator, HeldShare, HolderKey, pace
 from pondtiller.hashing import rank
 from pondtiller.serve.core.reports import DaemonReport
-from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.core.world import World
+from pondtiller.serve.core.world_settings import WorldSettings
 from pondtiller.serve.systems.status import build_report
 from pondtiller.table.sheet import Row, RowKind, Sheet, parse
 from pondtiller.usage.ledger import UseLedger
