--- a/src/pondtiller/serve/simulation/cluster.py
+++ b/src/pondtiller/serve/simulation/cluster.py
@@ -19,12 +19,13 @@
 from pondtiller.serve.emulator.weights import WeightStore
 from pondtiller.serve.simulation.callers import Callers
 from pondtiller.serve.simulation.cluster_settings import ClusterSettings
-from pondtiller.serve.simulation.daemon import DaemonNode, Surroundings
+from pondtiller.serve.simulation.daemon import DaemonNode
 from pondtiller.serve.simulation.engines import EngineNode
 from pondtiller.serve.simulation.network import Network
 from pondtiller.serve.simulation.operators import Operators
 from pondtiller.serve.simulation.platform import PlatformNode
 from pondtiller.serve.simulation.scheduler import Scheduler
+from pondtiller.serve.simulation.surroundings import Surroundings
 from pondtiller.serve.simulation.trainers import TrainerNode
 from pondtiller.serve.simulation.truth import AcceptedEdit, InProgress, LeavingEngine, Truth
 from pondtiller.table.sheet import DOCUMENT_NAME, RowKind, Sheet
@@ -38,7 +39,13 @@
 
 
 class Cluster:
-    """A deployment in simulation; `faults` change it while it runs."""
+    """A deployment in simulation; `faults` change it while it runs.
+
+    Attributes
+    ----------
+    daemons
+        All daemons by name, dead ones too.
+    """
 
     def __init__(self, deployment: Deployment, settings: ClusterSettings) -> None:
         self.deployment = deployment
@@ -52,11 +59,13 @@
         self.platform.on_write = self._note_write
         self.weights = WeightStore(deployment.weights.transfer_seconds, deployment.weights.lanes)
         self.engines = self._build_engines()
+        self.daemons: dict[str, DaemonNode] = {}
         self.around = Surroundings(
             self.scheduler,
             self.network,
             self.platform,
             self.engines,
+            self.daemons,
             on_table=self._note_in_force,
             count_bytes=settings.count_bytes,
             processor_clock=settings.processor_clock,
@@ -80,11 +89,6 @@
     def _fork(self) -> random.Random:
         return random.Random(self.source.getrandbits(64))
 
-    @property
-    def daemons(self) -> dict[str, DaemonNode]:
-        """All daemons by name, dead ones too."""
-        return self.around.daemons
-
     def entry_daemons(self) -> list[DaemonNode]:
         """Return the daemons that a load balancer in front would offer."""
         offered = [node for node in self.daemons.values() if node.alive and not node.stopping]
--- a/src/pondtiller/serve/simulation/daemon.py
+++ b/src/pondtiller/serve/simulation/daemon.py
@@ -1,95 +1,44 @@
-"""A daemon of a simulated cluster: the real systems, driven by the virtual clock."""
+"""A daemon of a simulated cluster: the real systems, driven by the virtual clock.
+
+Owns the process (its world, its life, what waits while it is paused) and the connections of callers
+and trainers; a crash loses all of these. What the systems ask of others, `instruction_driver`
+carries out. Each draw is from the node's seeded source, so a seed gives the same run.
+"""
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
 
 from pondtiller.coordination.member import Member
 from pondtiller.serve.core.events import (
     CallerLeft,
     DrainRequested,
     Event,
-    LetterArrived,
     RequestArrived,
-    ScoreArrived,
     TrainerCalled,
 )
 from pondtiller.serve.core.instructions import (
     AnswerSamples,
     AnswerTrainer,
-    CancelAttempt,
     Drained,
     FailAnswer,
     FailTrainer,
     FinishAnswer,
     Instruction,
-    ListStore,
-    LogEvent,
-    OrderEngine,
-    PollEngine,
     RedirectTrainer,
-    ScoreSample,
-    SendPeer,
     SendText,
-    StartAttempt,
-    WatchStore,
-    WriteJournal,
-    WriteStore,
 )
 from pondtiller.serve.core.world import World
 from pondtiller.serve.core.world_settings import WorldSettings
-from pondtiller.serve.emulator.scorer import score_sample
 from pondtiller.serve.simulation.cluster_settings import ClusterSettings
-from pondtiller.serve.simulation.engines import EngineNode
-from pondtiller.serve.simulation.network import Network
-from pondtiller.serve.simulation.platform import PlatformNode
-from pondtiller.serve.simulation.scheduler import Scheduler
+from pondtiller.serve.simulation.instruction_driver import InstructionDriver, ProcessLife
+from pondtiller.serve.simulation.surroundings import ControlCosts, Surroundings
 from pondtiller.serve.systems.tick import next_wakeup, tick
 from pondtiller.table.sheet import DOCUMENT_NAME
-from pondtiller.wire.envelope import Letter, decode, encode
-
-SCORE_SECONDS = 0.05
-"""Of a scorer. Modelled."""
 
 CallerAnswer = SendText | FinishAnswer | FailAnswer
 TrainerAnswer = AnswerSamples | AnswerTrainer | FailTrainer | RedirectTrainer
 
 
-@dataclass(slots=True)
-class ControlCosts:
-    """What a daemon spent on control messages.
-
-    Attributes
-    ----------
-    messages, bytes_sent
-        Letters sent to peers; bytes are counted only where the run asks for it.
-    ticks
-        Times that the systems ran.
-    busy_seconds
-        Processor time of ticks, encoding and decoding, where the run asks for it.
-    """
-
-    messages: int = 0
-    bytes_sent: int = 0
-    ticks: int = 0
-    busy_seconds: float = 0.0
-
-
-@dataclass(slots=True)
-class Surroundings:
-    """What all daemons of a cluster share."""
-
-    scheduler: Scheduler
-    network: Network
-    platform: PlatformNode
-    engines: dict[str, EngineNode]
-    daemons: dict[str, "DaemonNode"] = field(default_factory=dict)
-    on_table: Callable[[str, int], None] | None = None
-    on_log: Callable[[str, LogEvent], None] | None = None
-    count_bytes: bool = False
-    processor_clock: Callable[[], float] | None = None
-
-
 class DaemonNode:
     """One daemon process: it can crash, pause, restart and stop as planned."""
 
@@ -111,6 +60,7 @@
         self.caller_answers: dict[str, Callable[[CallerAnswer], None]] = {}
         self.trainer_answers: dict[str, Callable[[TrainerAnswer], None]] = {}
         self.on_connections_broken: Callable[[str, bool], None] | None = None
+        self._driver = InstructionDriver(name, zone, surroundings, self.costs)
         self._seeds = seeds
         self._source = source
         self._settings = settings
@@ -242,9 +192,9 @@
         now = self.around.scheduler.now
         self._wakeup = None
         self.costs.ticks += 1
-        started = self._processor_seconds()
+        started = self.around.processor_seconds()
         tick(self.world, now)
-        self.costs.busy_seconds += self._processor_seconds() - started
+        self.costs.busy_seconds += self.around.processor_seconds() - started
         for instruction in self.world.take_outbox():
             self._carry_out(instruction)
         self._note_table()
@@ -260,85 +210,22 @@
 
     def _carry_out(self, instruction: Instruction) -> None:
         match instruction:
-            case SendPeer():
-                self._send_peer(instruction)
-            case StartAttempt() | CancelAttempt() | PollEngine() | OrderEngine():
-                self._use_engine(instruction)
-            case ListStore() | WatchStore() | WriteStore():
-                self._use_platform(instruction)
-            case ScoreSample():
-                value = score_sample(instruction.prompt, instruction.text)
-                event = ScoreArrived(instruction.score_id, value)
-                deliver = self.deliver_to(self._life)
-                self.around.scheduler.after(SCORE_SECONDS, lambda: deliver(event))
             case SendText() | FinishAnswer() | FailAnswer():
                 self._answer_caller(instruction)
             case AnswerSamples() | AnswerTrainer() | FailTrainer() | RedirectTrainer():
                 self._answer_trainer(instruction)
-            case LogEvent():
-                if self.around.on_log is not None:
-                    self.around.on_log(self.name, instruction)
             case Drained():
                 self._end(planned=True)
-            case WriteJournal():
-                pass
-
-    def _send_peer(self, instruction: SendPeer) -> None:
-        self.costs.messages += 1
-        target = self.around.daemons.get(instruction.target)
-        if target is None:
-            return
-        if self.around.count_bytes:
-            self._count_bytes(target, instruction.letter)
-        event = LetterArrived(instruction.letter)
-        self.around.network.datagram(self.zone, target.zone, lambda: target.deliver(event))
-
-    def _count_bytes(self, target: "DaemonNode", letter: Letter) -> None:
-        """Encode a letter and decode it again, as the daemon's driver would."""
-        started = self._processor_seconds()
-        data = encode(letter)
-        encoded = self._processor_seconds()
-        decode(data)
-        self.costs.bytes_sent += len(data)
-        self.costs.busy_seconds += encoded - started
-        target.costs.busy_seconds += self._processor_seconds() - encoded
-
-    def _processor_seconds(self) -> float:
-        clock = self.around.processor_clock
-        return clock() if clock is not None else 0.0
-
-    def _use_engine(
-        self, instruction: StartAttempt | CancelAttempt | PollEngine | OrderEngine
-    ) -> None:
-        deliver = self.deliver_to(self._life)
-        if isinstance(instruction, CancelAttempt):
-            for engine in self.around.engines.values():
-                engine.cancel(instruction.attempt_id, self.zone)
-            return
-        node = self.around.engines[instruction.engine]
-        if isinstance(instruction, PollEngine):
-            node.poll(self.zone, deliver)
-        elif isinstance(instruction, OrderEngine):
-            node.order(instruction.order, self.name, self.zone, deliver)
-        else:
-            world, life = self.world, self._life
-            attempt_id = instruction.attempt_id
+            case _:
+                self._driver.carry_out(instruction, self._this_life())
 
-            def is_open() -> bool:
-                return life == self._life and attempt_id in world.attempts
+    def _this_life(self) -> ProcessLife:
+        world, life = self.world, self._life
 
-            node.attempt(attempt_id, instruction.request, self.zone, deliver, is_open)
+        def is_open(attempt_id: str) -> bool:
+            return life == self._life and attempt_id in world.attempts
 
-    def _use_platform(self, instruction: ListStore | WatchStore | WriteStore) -> None:
-        deliver = self.deliver_to(self._life)
-        if isinstance(instruction, ListStore):
-            self.around.platform.list_all(deliver)
-        elif isinstance(instruction, WatchStore):
-            self.around.platform.watch(instruction.revision, deliver)
-        else:
-            self.around.platform.put(
-                instruction.name, instruction.expected_revision, instruction.body, deliver
-            )
+        return ProcessLife(self.deliver_to(life), is_open)
 
     def _answer_caller(self, instruction: CallerAnswer) -> None:
         answer = self.caller_answers.get(instruction.request_id)
--- a/src/pondtiller/serve/simulation/engines.py
+++ b/src/pondtiller/serve/simulation/engines.py
@@ -22,15 +22,13 @@
     EngineOutput,
     Submission,
 )
-from pondtiller.serve.simulation.network import Network
+from pondtiller.serve.simulation.network import Deliver, Network
 from pondtiller.serve.simulation.scheduler import Scheduler
 from pondtiller.serve.simulation.truth import EngineStart, OrderSeen, TokenRun, Truth
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 """After which a caller of an engine that cannot be reached knows it. Modelled."""
 
-Deliver = Callable[[Event], None]
-
 
 @dataclass(slots=True)
 class _Stream:
--- a/src/pondtiller/serve/simulation/network.py
+++ b/src/pondtiller/serve/simulation/network.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from pondtiller.serve.core.events import Event
 from pondtiller.serve.deployment import Latencies
 from pondtiller.serve.simulation.scheduler import Scheduler
 
@@ -11,6 +12,10 @@
 """Largest part by which a trip is longer than its latency. Modelled."""
 
 
+Deliver = Callable[[Event], None]
+"""Hands an event to a daemon; does nothing once the life that waits for it has ended."""
+
+
 @dataclass(frozen=True, slots=True)
 class Cut:
     """Traffic from one zone to another that does not pass."""
--- a/src/pondtiller/serve/simulation/platform.py
+++ b/src/pondtiller/serve/simulation/platform.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass, field
 
 from pondtiller.serve.core.events import (
-    Event,
     StoredObject,
     StoreFailed,
     StoreListed,
@@ -14,6 +13,7 @@
     StoreWriteResult,
 )
 from pondtiller.serve.emulator.object_store import Listing, ObjectStore, PutStatus
+from pondtiller.serve.simulation.network import Deliver
 from pondtiller.serve.simulation.scheduler import Scheduler
 
 ANSWER_SECONDS = 0.005
@@ -27,8 +27,6 @@
 KEPT_OLD_READS = 20
 """Earlier states of which one may be read in place of the last. Modelled: reads may be old."""
 
-Deliver = Callable[[Event], None]
-
 
 @dataclass(slots=True)
 class PlatformNode:
