--- a/src/pondtiller/serve/emulator/engine.py
+++ b/src/pondtiller/serve/emulator/engine.py
@@ -1,7 +1,11 @@
-"""A model engine: continuous batching, prefix cache, priorities, fenced orders."""
+"""A model engine: continuous batching, priorities, fenced orders of weights.
+
+Owns the requests on the engine and the versions that it serves; a crash loses all but the weights
+that it fetched. Does no I/O: `engine_server` and the simulation call it with their time. The draws
+that decide whether an activation fails come from the given source only.
+"""
 
 import random
-from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -10,16 +14,11 @@
 from pondtiller.serve.core.events import OrderResult
 from pondtiller.serve.core.instructions import EngineOrder, EngineRequest
 from pondtiller.serve.core.tokens import Chunk
-from pondtiller.serve.emulator.text import (
-    answer_length,
-    pattern,
-    prompt_tokens,
-    text_between,
-)
+from pondtiller.serve.emulator.load_history import EngineLoad, LoadHistory
+from pondtiller.serve.emulator.prefix_cache import PrefixCache
+from pondtiller.serve.emulator.text import answer_length, pattern, text_between
 from pondtiller.serve.emulator.weights import WeightStore
 
-PREFIX_CHARACTERS = 256
-"""Beginning of a prompt that is cached as one. Modelled, not measured."""
 KEEP_ALIVE_SECONDS = 3.0
 """A request that waits or reads sends an empty piece so often. Modelled."""
 QUEUE_FACTOR = 2
@@ -91,14 +90,6 @@
 EngineOutput = ChunkOutput | OrderOutput
 
 
-@dataclass(frozen=True, slots=True)
-class EngineLoad:
-    """Load as a report shows it; it lags."""
-
-    running: int
-    urgent: int
-
-
 @dataclass(slots=True)
 class _Work:
     request: EngineRequest
@@ -150,9 +141,12 @@
     _unread_tokens: int = 0
     _orders: list[_PendingOrder] = field(default_factory=list)
     _paused_until: float = 0.0
-    _cache: "OrderedDict[str, int]" = field(default_factory=OrderedDict)
-    _cache_used: int = 0
-    _loads: list[tuple[float, EngineLoad]] = field(default_factory=list)
+    _cache: PrefixCache = field(init=False)
+    _loads: LoadHistory = field(init=False)
+
+    def __post_init__(self) -> None:
+        self._cache = PrefixCache(self.settings.cache_tokens)
+        self._loads = LoadHistory(self.settings.report_lag_seconds)
 
     def submit(self, request: EngineRequest, now: float) -> Submission:
         """Take a request, or refuse it before anything of it runs."""
@@ -219,17 +213,12 @@
         self._waiting.clear()
         self._orders.clear()
         self._cache.clear()
-        self._cache_used = 0
         self._step_at = None
         self._loads.clear()
 
     def load(self, now: float) -> EngineLoad:
         """Return the load as it was some time ago."""
-        seen = EngineLoad(0, 0)
-        for at, load in self._loads:
-            if at <= now - self.settings.report_lag_seconds:
-                seen = load
-        return seen
+        return self._loads.at(now)
 
     def next_wakeup(self) -> float | None:
         """Return when `advance` must be called next."""
@@ -293,20 +282,7 @@
         self._running[work.request.request_id] = work
         if not work.prefilled:
             work.prefilled = True
-            self._unread_tokens += self._read_prompt(work.request.prompt) + work.generated
-
-    def _read_prompt(self, prompt: str) -> int:
-        """Return how many prompt tokens are not in the prefix cache, and cache them."""
-        prefix = prompt[:PREFIX_CHARACTERS]
-        tokens = prompt_tokens(prompt)
-        if prefix in self._cache:
-            self._cache.move_to_end(prefix)
-            return max(0, tokens - prompt_tokens(prefix))
-        self._cache[prefix] = prompt_tokens(prefix)
-        self._cache_used += prompt_tokens(prefix)
-        while self._cache_used > self.settings.cache_tokens:
-            self._cache_used -= self._cache.popitem(last=False)[1]
-        return tokens
+            self._unread_tokens += self._cache.read(work.request.prompt) + work.generated
 
     def _step_length(self) -> float:
         a_token = self.settings.step_seconds + self.settings.step_seconds_a_request * len(
@@ -360,7 +336,4 @@
     def _note_load(self, now: float) -> None:
         everything = [*self._waiting, *self._running.values()]
         urgent = sum(1 for work in everything if work.request.priority >= self.urgent_priority)
-        self._loads.append((now, EngineLoad(len(everything), urgent)))
-        horizon = now - self.settings.report_lag_seconds
-        while len(self._loads) > 1 and self._loads[1][0] <= horizon:
-            self._loads.pop(0)
+        self._loads.note(now, EngineLoad(len(everything), urgent))
