--- a/src/pondtiller/cli/serve.py
+++ b/src/pondtiller/cli/serve.py
@@ -2,12 +2,12 @@
 
 import tomllib
 from pathlib import Path
-from typing import Any
 
 import curio
 from cleo.commands.command import Command
 from cleo.helpers import option
 from pydantic import ValidationError
+from pydantic_core import ErrorDetails
 from result import Err, Ok, Result
 
 from pondtiller.cli.common import EXIT_BAD_INPUT, EXIT_OK, print_problems
@@ -61,7 +61,7 @@
 def load_settings(path: Path, overrides: dict[str, str]) -> Result[DaemonSettings, list[Problem]]:
     """Read a settings file; flags override it."""
     try:
-        given: dict[str, Any] = tomllib.loads(path.read_text(encoding="utf-8"))
+        given: dict[str, object] = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         return Err([Problem(str(path), "file", str(error))])
     try:
@@ -70,7 +70,7 @@
         return Err([_problem(path, overrides, item) for item in error.errors()])
 
 
-def _problem(path: Path, overrides: dict[str, str], item: Any) -> Problem:
+def _problem(path: Path, overrides: dict[str, str], item: ErrorDetails) -> Problem:
     key = ".".join(map(str, item["loc"])) or "settings"
     is_flag = bool(item["loc"]) and item["loc"][0] in overrides
     return Problem("command line" if is_flag else str(path), key, item["msg"])
--- a/src/pondtiller/gateway/sockets.py
+++ b/src/pondtiller/gateway/sockets.py
@@ -4,10 +4,9 @@
 address, whose socket `httpio.metrics_server` owns.
 """
 
-from typing import Any
-
 from pondtiller.address import Address, to_address
 from pondtiller.httpio.server import bind_tcp
+from pondtiller.process.curio_types import Listener
 from pondtiller.settings import GatewaySettings
 
 
@@ -25,11 +24,12 @@
         """Where the other gateways reach this one."""
         return to_address(self._announced) if self._announced else self.address(self.links)
 
-    def address(self, listener: Any) -> Address:
+    def address(self, listener: Listener) -> Address:
         """Return where a listener is bound."""
         host, port = listener.getsockname()
         return Address(host, port)
 
-    def _bind(self, text: str) -> Any:
+    def _bind(self, text: str) -> Listener:
         place = to_address(text)
-        return bind_tcp(place.host, place.port)
+        listener: Listener = bind_tcp(place.host, place.port)
+        return listener
--- a/src/pondtiller/process/spawner.py
+++ b/src/pondtiller/process/spawner.py
@@ -6,16 +6,17 @@
 """
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import curio
 
+from pondtiller.process.curio_types import Task
+
 
 class Spawner:
     """A set of running tasks, as an asynchronous context manager."""
 
     def __init__(self) -> None:
-        self._tasks: set[Any] = set()
+        self._tasks: set[Task] = set()
 
     def __len__(self) -> int:
         return len(self._tasks)
@@ -32,16 +33,16 @@
         for task in list(self._tasks):
             await task.cancel()
 
-    async def spawn(self, function: Callable[..., Awaitable[None]], *arguments: Any) -> Any:
+    async def spawn(self, function: Callable[..., Awaitable[None]], *arguments: object) -> Task:
         """Start a task and return it."""
-        holder: list[Any] = []
-        task = await curio.spawn(self._run, holder, function, *arguments, daemon=True)
+        holder: list[Task] = []
+        task: Task = await curio.spawn(self._run, holder, function, *arguments, daemon=True)
         holder.append(task)
         self._tasks.add(task)
         return task
 
     async def _run(
-        self, holder: list[Any], function: Callable[..., Awaitable[None]], *arguments: Any
+        self, holder: list[Task], function: Callable[..., Awaitable[None]], *arguments: object
     ) -> None:
         try:
             await function(*arguments)
--- a/src/pondtiller/serve/daemon/caller_api.py
+++ b/src/pondtiller/serve/daemon/caller_api.py
@@ -1,26 +1,30 @@
-"""The callers' interface: OpenAI-compatible completions, whole and streamed."""
+"""The callers' interface: OpenAI-compatible completions, whole and streamed.
+
+Turns each exchange into events and the daemon's answers into HTTP; a caller that closes its
+connection is reported to the world. Owns no state: what is in progress is in the world, and answers
+come through a queue of `runtime`. The forms of bodies are in `completion_bodies` and `answer_form`.
+"""
 
 import json
-from typing import Annotated, Any, Literal
 
 import curio
-from pydantic import BaseModel, ConfigDict, Field, ValidationError
+from pydantic import ValidationError
 
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.hashing import digest
 from pondtiller.httpio.messages import HttpRequest, json_response
 from pondtiller.httpio.server import ConnectionLostError, Exchange, failure_response
-from pondtiller.process import clock
+from pondtiller.process.curio_types import Queue
 from pondtiller.serve.core.entities import RequestSpec
 from pondtiller.serve.core.events import CallerLeft, RequestArrived
 from pondtiller.serve.core.instructions import FailAnswer, FinishAnswer, SendText
-from pondtiller.serve.daemon.runtime import Runtime
+from pondtiller.serve.daemon.answer_form import AnswerForm, stream_event
+from pondtiller.serve.daemon.completion_bodies import ChatBody, CompletionBody
+from pondtiller.serve.daemon.runtime import Answer, Runtime
 from pondtiller.table.sheet import RowKind, explain
 
 DEFAULT_MAXIMUM_TOKENS = 256
 """Of a request that names none. Chosen, not measured."""
-LARGEST_PROMPT_CHARACTERS = 4_000_000
-"""A longer prompt is refused as malformed. Chosen, not measured: it bounds memory."""
 CALLER_HEADER = "x-caller-class"
 ONCE_HEADER = "x-run-at-most-once"
 KEY_HEADER = "idempotency-key"
@@ -28,61 +32,6 @@
 """Characters of an idempotency key; a longer one is refused. Chosen, not measured: it is part of a
 register key."""
 
-MaximumTokens = Annotated[int, Field(ge=1, le=1_000_000)]
-
-
-class CompletionBody(BaseModel):
-    """Body of `POST /v1/completions`; fields that need not be known are ignored."""
-
-    model_config = ConfigDict(extra="ignore", strict=True)
-
-    model: str
-    prompt: str = Field(max_length=LARGEST_PROMPT_CHARACTERS)
-    max_tokens: MaximumTokens | None = None
-    stream: bool | None = None
-    n: Literal[1] | None = None
-
-
-class TextPart(BaseModel):
-    """A part of a message's content."""
-
-    model_config = ConfigDict(extra="ignore", strict=True)
-
-    type: Literal["text"]
-    text: str
-
-
-class Message(BaseModel):
-    """One message of a chat."""
-
-    model_config = ConfigDict(extra="ignore", strict=True)
-
-    role: str
-    content: str | list[TextPart]
-
-    def text(self) -> str:
-        """Return the content as one text."""
-        if isinstance(self.content, str):
-            return self.content
-        return "".join(part.text for part in self.content)
-
-
-class ChatBody(BaseModel):
-    """Body of `POST /v1/chat/completions`."""
-
-    model_config = ConfigDict(extra="ignore", strict=True)
-
-    model: str
-    messages: list[Message] = Field(min_length=1)
-    max_tokens: MaximumTokens | None = None
-    max_completion_tokens: MaximumTokens | None = None
-    stream: bool | None = None
-    n: Literal[1] | None = None
-
-    def prompt(self) -> str:
-        """Return the messages as the prompt that engines read."""
-        return "\n".join(f"{message.role}: {message.text()}" for message in self.messages)
-
 
 class CallerApi:
     """Turns callers' HTTP requests into events and the answers into HTTP."""
@@ -125,12 +74,12 @@
             await _refuse(exchange, f"{KEY_HEADER}: longer than {LONGEST_KEY} characters")
             return
         spec = self._spec(exchange.request, service, prompt, maximum_tokens, stream)
-        shape = _Shape(spec.request_id, service, chat)
+        form = AnswerForm(spec.request_id, service, chat)
         queue = self._runtime.expect(spec.request_id)
         watcher = await curio.spawn(self._watch, exchange, spec.request_id, daemon=True)
         try:
             await self._runtime.post(RequestArrived(spec))
-            await self._answer(exchange, spec, shape, queue)
+            await self._answer(exchange, spec, form, queue)
         except (ConnectionLostError, curio.CancelledError):
             await self._runtime.post(CallerLeft(spec.request_id))
             raise
@@ -178,7 +127,7 @@
         await self._runtime.post(CallerLeft(request_id))
 
     async def _answer(
-        self, exchange: Exchange, spec: RequestSpec, shape: "_Shape", queue: Any
+        self, exchange: Exchange, spec: RequestSpec, form: AnswerForm, queue: Queue[Answer]
     ) -> None:
         while True:
             answer = await queue.get()
@@ -188,22 +137,22 @@
             if isinstance(answer, SendText):
                 if not exchange.started:
                     await exchange.start_stream()
-                await exchange.send_piece(shape.piece(answer.text))
+                await exchange.send_piece(form.piece(answer.text))
             elif isinstance(answer, FinishAnswer):
-                await self._finish(exchange, spec, shape, answer)
+                await self._finish(exchange, spec, form, answer)
                 return
 
     async def _finish(
-        self, exchange: Exchange, spec: RequestSpec, shape: "_Shape", answer: FinishAnswer
+        self, exchange: Exchange, spec: RequestSpec, form: AnswerForm, answer: FinishAnswer
     ) -> None:
         if not spec.stream:
-            await exchange.respond(json_response(200, shape.whole(spec.prompt, answer)))
+            await exchange.respond(json_response(200, form.whole(spec.prompt, answer)))
             return
         if not exchange.started:
             # Nothing was streamed: an answer that another request with this key left.
             await exchange.start_stream()
-            await exchange.send_piece(shape.piece(answer.text))
-        await exchange.send_piece(shape.last_piece(answer))
+            await exchange.send_piece(form.piece(answer.text))
+        await exchange.send_piece(form.last_piece(answer))
         await exchange.end_stream()
 
 
@@ -217,79 +166,5 @@
         return
     # The head is sent: the error goes into the stream, and the stream ends without [DONE].
     error = json.loads(failure_response(failure).body)
-    await exchange.send_piece(_event(error))
+    await exchange.send_piece(stream_event(error))
     await exchange.end_stream()
-
-
-def _event(value: Any) -> bytes:
-    return b"data: " + json.dumps(value).encode() + b"\n\n"
-
-
-class _Shape:
-    """Builds bodies in the form of the OpenAI protocol."""
-
-    def __init__(self, request_id: str, model: str, chat: bool) -> None:
-        self._identifier = request_id
-        self._model = model
-        self._chat = chat
-        self._created = clock.wall_seconds()
-
-    def _body(self, kind: str, choice: dict[str, Any]) -> dict[str, Any]:
-        return {
-            "id": self._identifier,
-            "object": kind,
-            "created": self._created,
-            "model": self._model,
-            "choices": [{"index": 0, "logprobs": None, **choice}],
-        }
-
-    def piece(self, text: str) -> bytes:
-        """Return a streamed piece."""
-        if self._chat:
-            delta = {"role": "assistant", "content": text}
-            choice: dict[str, Any] = {"delta": delta, "finish_reason": None}
-            return _event(self._body("chat.completion.chunk", choice))
-        return _event(self._body("text_completion", {"text": text, "finish_reason": None}))
-
-    def last_piece(self, answer: FinishAnswer) -> bytes:
-        """Return the last streamed piece and the end mark."""
-        if self._chat:
-            choice: dict[str, Any] = {"delta": {}, "finish_reason": answer.finish_reason}
-            body = self._body("chat.completion.chunk", choice)
-        else:
-            choice = {"text": "", "finish_reason": answer.finish_reason}
-            body = self._body("text_completion", choice)
-        body["pondtiller"] = _origin(answer)
-        return _event(body) + b"data: [DONE]\n\n"
-
-    def whole(self, prompt: str, answer: FinishAnswer) -> dict[str, Any]:
-        """Return a whole body."""
-        finish = {"finish_reason": answer.finish_reason}
-        if self._chat:
-            message = {"role": "assistant", "content": answer.text}
-            body = self._body("chat.completion", {"message": message, **finish})
-        else:
-            body = self._body("text_completion", {"text": answer.text, **finish})
-        prompt_tokens = len(prompt.split())
-        body["usage"] = {
-            "prompt_tokens": prompt_tokens,
-            "completion_tokens": answer.token_count,
-            "total_tokens": prompt_tokens + answer.token_count,
-        }
-        body["pondtiller"] = _origin(answer)
-        return body
-
-
-def _origin(answer: FinishAnswer) -> dict[str, Any]:
-    """Return which weight versions made which tokens, and the whole text's digest."""
-    return {
-        "segments": [
-            {
-                "version": segment.version,
-                "first_token": segment.first_token,
-                "last_token": segment.last_token,
-            }
-            for segment in answer.segments
-        ],
-        "digest": answer.digest,
-    }
--- a/src/pondtiller/serve/daemon/engine_client.py
+++ b/src/pondtiller/serve/daemon/engine_client.py
@@ -2,7 +2,6 @@
 
 import json
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
@@ -144,7 +143,7 @@
 
 def _request_body(start: StartAttempt) -> bytes:
     request = start.request
-    body: dict[str, Any] = {
+    body = {
         "request_id": request.request_id,
         "model": request.model,
         "prompt": request.prompt,
@@ -160,7 +159,7 @@
 
 def _order_body(order: OrderEngine) -> bytes:
     given = order.order
-    body: dict[str, Any] = {
+    body = {
         "order_id": given.order_id,
         "fence": given.fence,
         "kind": given.kind,
--- a/src/pondtiller/serve/daemon/peer_transport.py
+++ b/src/pondtiller/serve/daemon/peer_transport.py
@@ -1,11 +1,12 @@
 """Peer messages: datagrams for small letters, one short connection for large ones."""
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import curio
 
 from pondtiller.address import Address
+from pondtiller.process.curio_types import Connection, DatagramSocket, Listener
+from pondtiller.process.spawner import Spawner
 from pondtiller.wire.envelope import Letter, decode, encode
 
 LARGEST_DATAGRAM = 8_000
@@ -21,7 +22,7 @@
 Receiver = Callable[[Letter], Awaitable[None]]
 
 
-def bind_peer(host: str, port: int) -> tuple[Any, Any]:
+def bind_peer(host: str, port: int) -> tuple[DatagramSocket, Listener]:
     """Return a datagram socket and a listener on the same port; 0 lets the kernel choose."""
     for _ in range(50):
         listener = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_STREAM)
@@ -48,7 +49,7 @@
         Counted for `/metrics`.
     """
 
-    def __init__(self, datagrams: Any, listener: Any) -> None:
+    def __init__(self, datagrams: DatagramSocket, listener: Listener) -> None:
         self._datagrams = datagrams
         self._listener = listener
         self.sent_messages = 0
@@ -56,7 +57,7 @@
         self.received_messages = 0
         self.invalid_messages = 0
 
-    async def send(self, address: Address, letter: Letter, group: Any) -> None:
+    async def send(self, address: Address, letter: Letter, group: Spawner) -> None:
         """Send a letter; failures are left to the protocols above, which repeat."""
         data = encode(letter)
         self.sent_messages += 1
@@ -85,7 +86,7 @@
                 client, _ = await self._listener.accept()
                 await group.spawn(self._receive_large, client, receiver)
 
-    async def _receive_large(self, client: Any, receiver: Receiver) -> None:
+    async def _receive_large(self, client: Connection, receiver: Receiver) -> None:
         async with client:
             try:
                 async with curio.timeout_after(TRANSFER_SECONDS):
@@ -118,7 +119,7 @@
         return
 
 
-async def _read_exactly(client: Any, count: int) -> bytes:
+async def _read_exactly(client: Connection, count: int) -> bytes:
     data = b""
     while len(data) < count:
         piece = await client.recv(min(65_536, count - len(data)))
--- a/src/pondtiller/serve/daemon/process.py
+++ b/src/pondtiller/serve/daemon/process.py
@@ -1,7 +1,6 @@
 """One daemon: binds its sockets, builds the world and serves until it is drained."""
 
 import random
-from typing import Any
 
 import curio
 
@@ -12,6 +11,7 @@
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import Exchange, bind_tcp, failure_response, serve_http
 from pondtiller.process import clock, logs
+from pondtiller.process.curio_types import Task
 from pondtiller.serve.core.events import DrainRequested
 from pondtiller.serve.core.world import World
 from pondtiller.serve.core.world_settings import WorldSettings
@@ -70,7 +70,7 @@
         self._connect_clients()
         self._callers = CallerApi(self.runtime)
         self._trainers = TrainerApi(self.runtime)
-        self._tasks: list[Any] = []
+        self._tasks: list[Task] = []
 
     def _build_world(self, incarnation: int) -> World:
         settings = self.settings
--- a/src/pondtiller/serve/daemon/runtime.py
+++ b/src/pondtiller/serve/daemon/runtime.py
@@ -1,10 +1,9 @@
 """Runs the pure systems: one task ticks the world and carries out its instructions."""
 
-from typing import Any
-
 import curio
 
 from pondtiller.process import clock, logs
+from pondtiller.process.curio_types import Queue, Task
 from pondtiller.process.spawner import Spawner
 from pondtiller.serve.core.events import Event, LetterArrived
 from pondtiller.serve.core.instructions import (
@@ -65,17 +64,17 @@
 
     def __init__(self, world: World, peers: PeerTransport, journal: Journal | None) -> None:
         self.world = world
-        self.answers: dict[str, Any] = {}
+        self.answers: dict[str, Queue[Answer]] = {}
         self.drained = curio.Event()
         self.busy_seconds = 0.0
         self.ticks = 0
         self._peers = peers
         self._journal = journal
         self._arrived = curio.Event()
-        self._attempts: dict[str, Any] = {}
+        self._attempts: dict[str, Task] = {}
         self._engines: EngineClient | None = None
         self._platform: PlatformClient | None = None
-        self._group: Any = None
+        self._group = Spawner()
 
     def connect(self, engines: EngineClient, platform: PlatformClient) -> None:
         """Set the clients that carry out calls; they post back into this runtime."""
@@ -93,8 +92,7 @@
 
     async def run(self) -> None:
         """Tick when something arrived or is due, until cancelled."""
-        async with Spawner() as group:
-            self._group = group
+        async with self._group:
             while True:
                 await self._tick()
                 await self._sleep()
@@ -173,9 +171,9 @@
         if queue is not None:
             await queue.put(answer)
 
-    def expect(self, identifier: str) -> Any:
+    def expect(self, identifier: str) -> Queue[Answer]:
         """Return the queue on which the answers to a request or call will come."""
-        queue = curio.Queue()
+        queue: Queue[Answer] = curio.Queue()
         self.answers[identifier] = queue
         return queue
 
--- a/src/pondtiller/serve/daemon/trainer_api.py
+++ b/src/pondtiller/serve/daemon/trainer_api.py
@@ -1,7 +1,7 @@
 """The trainers' interface: open a step, read samples by cursor, acknowledge, publish."""
 
 import re
-from typing import Annotated, Any
+from typing import Annotated
 from urllib.parse import quote
 
 import curio
@@ -25,7 +25,8 @@
     FailTrainer,
     RedirectTrainer,
 )
-from pondtiller.serve.daemon.runtime import Runtime
+from pondtiller.serve.core.sample_bodies import SampleBody, segment_bodies
+from pondtiller.serve.daemon.runtime import Answer, Runtime
 from pondtiller.table.sheet import explain
 
 ANSWER_SECONDS = 45.0
@@ -144,7 +145,7 @@
         return _response(exchange, answer)
 
 
-def _response(exchange: Exchange, answer: Any) -> HttpResponse:
+def _response(exchange: Exchange, answer: Answer) -> HttpResponse:
     match answer:
         case AnswerSamples():
             body = {
@@ -170,7 +171,7 @@
     return json_response(307, {"location": location}, (("Location", location),))
 
 
-def _sample(sample: Sample) -> dict[str, Any]:
+def _sample(sample: Sample) -> SampleBody:
     return {
         "slot": sample.slot,
         "sample_id": sample.sample_id,
@@ -179,12 +180,5 @@
         "tokens": sample.token_count,
         "finish_reason": sample.finish_reason,
         "score": sample.score,
-        "segments": [
-            {
-                "version": segment.version,
-                "first_token": segment.first_token,
-                "last_token": segment.last_token,
-            }
-            for segment in sample.segments
-        ],
+        "segments": segment_bodies(sample.segments),
     }
--- a/src/pondtiller/serve/emulator/engine_server.py
+++ b/src/pondtiller/serve/emulator/engine_server.py
@@ -2,7 +2,7 @@
 
 import json
 from collections.abc import Callable
-from typing import Annotated, Any
+from typing import Annotated
 
 import curio
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
@@ -17,17 +17,21 @@
     serve_http,
 )
 from pondtiller.process import clock
+from pondtiller.process.curio_types import Listener, Queue
 from pondtiller.serve.core.instructions import EngineOrder, EngineRequest
 from pondtiller.serve.core.tokens import Chunk
 from pondtiller.serve.emulator.engine import (
     ChunkOutput,
     EngineModel,
     EngineOutput,
+    OrderOutput,
     Submission,
 )
 from pondtiller.table.sheet import explain
 
 ChunkObserver = Callable[[str, Chunk], None]
+Stream = Queue[ChunkOutput | None]
+"""Pieces of one answer; None once the caller has left."""
 
 
 class CompletionBody(BaseModel):
@@ -66,12 +70,12 @@
         Called with each request's identifier and chunk, for checks from outside.
     """
 
-    def __init__(self, model: EngineModel, listener: Any) -> None:
+    def __init__(self, model: EngineModel, listener: Listener) -> None:
         self.model = model
         self.address = Address(*listener.getsockname())
         self._listener = listener
-        self._streams: dict[str, Any] = {}
-        self._orders: dict[str, Any] = {}
+        self._streams: dict[str, Stream] = {}
+        self._orders: dict[str, Queue[OrderOutput]] = {}
         self._changed = curio.Event()
         self._sequence = 0
         self.observe_chunk: ChunkObserver | None = None
@@ -96,13 +100,19 @@
                 await curio.ignore_after(wait, self._changed.wait)
 
     async def _emit(self, output: EngineOutput) -> None:
-        if isinstance(output, ChunkOutput) and self.observe_chunk is not None:
+        if isinstance(output, OrderOutput):
+            await self._emit_order(output)
+            return
+        if self.observe_chunk is not None:
             self.observe_chunk(output.request_id, output.chunk)
-        waiting = self._streams if isinstance(output, ChunkOutput) else self._orders
-        key = output.request_id if isinstance(output, ChunkOutput) else output.order_id
-        queue = waiting.get(key)
-        if queue is not None:
-            await queue.put(output)
+        stream = self._streams.get(output.request_id)
+        if stream is not None:
+            await stream.put(output)
+
+    async def _emit_order(self, output: OrderOutput) -> None:
+        waiting = self._orders.get(output.order_id)
+        if waiting is not None:
+            await waiting.put(output)
 
     async def _handle(self, exchange: Exchange) -> None:
         method, path = exchange.request.method, exchange.request.path
@@ -148,7 +158,7 @@
         if submission is not Submission.ACCEPTED:
             await exchange.respond(json_response(503, {"refused": submission.value}))
             return
-        queue = curio.Queue()
+        queue: Stream = curio.Queue()
         self._streams[request.request_id] = queue
         await self._changed.set()
         try:
@@ -157,7 +167,7 @@
             del self._streams[request.request_id]
             self.model.cancel(request.request_id, clock.monotonic())
 
-    async def _stream(self, exchange: Exchange, queue: Any) -> None:
+    async def _stream(self, exchange: Exchange, queue: Stream) -> None:
         await exchange.start_stream()
         watcher = await curio.spawn(_watch, exchange, queue, daemon=True)
         try:
@@ -175,7 +185,7 @@
     async def _order(self, exchange: Exchange) -> None:
         body = OrderBody.model_validate_json(exchange.request.body)
         order = EngineOrder(body.order_id, body.fence, body.kind, body.model, body.version)
-        queue = curio.Queue()
+        queue: Queue[OrderOutput] = curio.Queue()
         self._orders[order.order_id] = queue
         try:
             result = self.model.order(order, clock.monotonic())
@@ -187,7 +197,7 @@
         await exchange.respond(json_response(200, {"result": result}))
 
 
-async def _watch(exchange: Exchange, queue: Any) -> None:
+async def _watch(exchange: Exchange, queue: Stream) -> None:
     """Put None into a stream's queue once the other side closed."""
     await exchange.wait_closed()
     await queue.put(None)
--- a/src/pondtiller/serve/emulator/fleet.py
+++ b/src/pondtiller/serve/emulator/fleet.py
@@ -1,6 +1,6 @@
 """Settings of the stand-ins of a deployment."""
 
-from typing import Any
+from typing import TypedDict
 
 from pondtiller.address import Address
 from pondtiller.serve.deployment import Deployment
@@ -9,6 +9,27 @@
 from pondtiller.table.sheet import Sheet
 
 
+class FleetEntry(TypedDict):
+    """An engine in the platform's list of machines, as `systems.fleet` reads it.
+
+    Attributes
+    ----------
+    slots
+        Requests that the engine batches at a time.
+    generation
+        Counts the lives of an engine under one name.
+    """
+
+    name: str
+    zone: str
+    host: str
+    port: int
+    slots: int
+    models: list[str]
+    generation: int
+    leaving: bool
+
+
 def engine_settings(deployment: Deployment) -> list[EngineSettings]:
     """Return the settings of all engines, spread over the zones in turn."""
     return [
@@ -47,7 +68,7 @@
     return Sheet(rows=tuple(sorted(deployment.table, key=lambda row: (row.kind, row.name))))
 
 
-def fleet_entry(settings: EngineSettings, address: Address) -> dict[str, Any]:
+def fleet_entry(settings: EngineSettings, address: Address) -> FleetEntry:
     """Return an engine's entry in the platform's list of machines."""
     return {
         "name": settings.name,
--- a/src/pondtiller/serve/emulator/platform_server.py
+++ b/src/pondtiller/serve/emulator/platform_server.py
@@ -1,7 +1,7 @@
 """The object service and the scorer behind HTTP."""
 
 import json
-from typing import Any
+from typing import TypedDict
 
 import curio
 from pydantic import BaseModel, ConfigDict, JsonValue, ValidationError
@@ -11,6 +11,7 @@
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import Exchange, failure_response, serve_http
 from pondtiller.process import clock
+from pondtiller.process.curio_types import Listener
 from pondtiller.serve.emulator.object_store import ObjectStore, PutStatus, StoredBody
 from pondtiller.serve.emulator.scorer import score_sample
 from pondtiller.table.sheet import explain
@@ -49,6 +50,29 @@
     text: str
 
 
+class ObjectMetadata(TypedDict):
+    """What the service adds to an object.
+
+    Attributes
+    ----------
+    resourceVersion
+        Revision of the latest write, in digits.
+    writtenAt
+        Time of the latest write, seconds since the epoch.
+    """
+
+    name: str
+    resourceVersion: str
+    writtenAt: float
+
+
+class ObjectBody(TypedDict):
+    """An object as the service answers it; `spec` is its body, any JSON."""
+
+    metadata: ObjectMetadata
+    spec: object
+
+
 class PlatformServer:
     """The object service and the scorer behind HTTP.
 
@@ -58,7 +82,7 @@
         Every call is answered 503 and nothing takes effect.
     """
 
-    def __init__(self, store: ObjectStore, listener: Any) -> None:
+    def __init__(self, store: ObjectStore, listener: Listener) -> None:
         self.store = store
         self.address = Address(*listener.getsockname())
         self.down = False
@@ -120,8 +144,8 @@
         return json_response(200, _object(self.store.objects[name]))
 
 
-def _object(stored: StoredBody) -> dict[str, Any]:
-    metadata = {
+def _object(stored: StoredBody) -> ObjectBody:
+    metadata: ObjectMetadata = {
         "name": stored.name,
         "resourceVersion": str(stored.revision),
         "writtenAt": stored.written_at,
--- a/src/pondtiller/serve/emulator/server.py
+++ b/src/pondtiller/serve/emulator/server.py
@@ -3,7 +3,6 @@
 import json
 import random
 from dataclasses import dataclass, field
-from typing import Any
 
 from pondtiller.httpio.server import bind_tcp
 from pondtiller.process import clock
@@ -12,7 +11,7 @@
 from pondtiller.serve.deployment import Deployment
 from pondtiller.serve.emulator.engine import EngineModel
 from pondtiller.serve.emulator.engine_server import EngineServer
-from pondtiller.serve.emulator.fleet import engine_settings, first_sheet, fleet_entry
+from pondtiller.serve.emulator.fleet import FleetEntry, engine_settings, first_sheet, fleet_entry
 from pondtiller.serve.emulator.object_store import ObjectStore
 from pondtiller.serve.emulator.platform_server import PlatformServer
 from pondtiller.serve.emulator.weights import WeightStore
@@ -55,7 +54,7 @@
     emulator = Emulator(deployment, PlatformServer(store, bind_tcp(host, port)))
     weights = WeightStore(deployment.weights.transfer_seconds, deployment.weights.lanes)
     source = random.Random(seed)
-    entries: list[dict[str, Any]] = []
+    entries: list[FleetEntry] = []
     for settings in engine_settings(deployment):
         model = EngineModel(settings, weights, random.Random(source.getrandbits(64)))
         server = EngineServer(model, bind_tcp(host, 0))
--- a/src/pondtiller/serve/emulator/trainer_client.py
+++ b/src/pondtiller/serve/emulator/trainer_client.py
@@ -2,7 +2,7 @@
 
 import json
 import random
-from typing import Any
+from typing import TypedDict
 from urllib.parse import urlsplit
 
 import curio
@@ -13,6 +13,7 @@
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.process import clock
 from pondtiller.serve.core.entities import Sample
+from pondtiller.serve.core.sample_bodies import SampleBody
 from pondtiller.serve.core.tokens import Segment
 from pondtiller.serve.emulator.trainer import (
     Acknowledge,
@@ -29,6 +30,18 @@
 """Of one call on its way to a step's home. Chosen: views of the members differ for moments only."""
 
 
+class FailureDetail(TypedDict):
+    """What a trainer reads of an error; `type` is a value of `ErrorKind`."""
+
+    type: str
+
+
+class FailureBody(TypedDict):
+    """Body of an answer that is not 200."""
+
+    error: FailureDetail
+
+
 class TrainerClient:
     """One trainer; it stays with the daemon that makes its step while that answers."""
 
@@ -107,7 +120,7 @@
             case Publish():
                 self.model.note_published()
 
-    def _take_failure(self, body: Any, now: float) -> None:
+    def _take_failure(self, body: FailureBody, now: float) -> None:
         if body["error"]["type"] == ErrorKind.UNKNOWN_STEP.value:
             self.model.note_unknown_step(now)
             return
@@ -115,7 +128,7 @@
         self.model.note_failed(now)
 
 
-def _sample(body: dict[str, Any]) -> Sample:
+def _sample(body: SampleBody) -> Sample:
     return Sample(
         slot=body["slot"],
         sample_id=body["sample_id"],
--- a/src/pondtiller/store/mirror.py
+++ b/src/pondtiller/store/mirror.py
@@ -11,7 +11,7 @@
 """
 
 from collections.abc import Callable, Mapping
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import curio
 
@@ -26,6 +26,7 @@
     StoreObject,
 )
 from pondtiller.process import clock, logs
+from pondtiller.process.curio_types import Event
 from pondtiller.process.spawner import Spawner
 from pondtiller.process.supervise import keep_running
 from pondtiller.store.store_watch import StoreHealth, StoreReader, Watch
@@ -117,7 +118,7 @@
         reader = MirroringReader(store, self.kinds)
         self._followed = {kind: self._watch(reader, kind) for kind in self.kinds}
         self._followed[names.ENGINES].rest = lambda: ENGINES_REST_SECONDS
-        self._waiting: set[Any] = set()
+        self._waiting: set[Event] = set()
         self._watches = Spawner()
 
     def _watch(self, reader: MirroringReader, kind: str) -> Watch:
@@ -193,7 +194,7 @@
         if message.passes_on:
             return await self._pass_on(message)
         until = clock.monotonic() + message.wait_milliseconds / 1000.0
-        event = curio.Event()
+        event: Event = curio.Event()
         self._waiting.add(event)
         try:
             while True:
--- a/src/pondtiller/store/store_watch.py
+++ b/src/pondtiller/store/store_watch.py
@@ -7,7 +7,7 @@
 
 import random
 from collections.abc import Awaitable, Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 import curio
 
@@ -20,6 +20,7 @@
     StoreObject,
 )
 from pondtiller.process import clock, logs
+from pondtiller.process.curio_types import Event
 from pondtiller.process.run_until import run_until
 
 WATCH_SECONDS = 6.0
@@ -60,7 +61,7 @@
 
     def __init__(self) -> None:
         self._is_lost = False
-        self._regained: set[Any] = set()
+        self._regained: set[Event] = set()
 
     def lost(self, kind: str, error: StoreCallError) -> None:
         """Take a failure."""
@@ -90,7 +91,7 @@
 
     async def wait_regained(self) -> None:
         """Return when the store answers again after a failure, or has forgotten its history."""
-        event = curio.Event()
+        event: Event = curio.Event()
         self._regained.add(event)
         try:
             await event.wait()
