--- a/src/pondtiller/serve/core/events.py
+++ b/src/pondtiller/serve/core/events.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 
 from pondtiller.errors import Ran
-from pondtiller.serve.core.entities import FinishedRequest, RequestSpec, Sample, StepKey
+from pondtiller.serve.core.entities import FinishedRequest, RequestSpec
+from pondtiller.serve.core.step_entities import Sample, StepKey
 from pondtiller.serve.core.tokens import Chunk
 from pondtiller.wire.envelope import Letter, PeerMessage
 
--- a/src/pondtiller/serve/core/instructions.py
+++ b/src/pondtiller/serve/core/instructions.py
@@ -5,7 +5,7 @@
 from pondtiller.address import Address
 from pondtiller.coordination.registers.acceptor import JournalEntry
 from pondtiller.errors import Failure
-from pondtiller.serve.core.entities import Sample, StepKey
+from pondtiller.serve.core.step_entities import Sample, StepKey
 from pondtiller.serve.core.tokens import Segment
 from pondtiller.wire.envelope import Letter
 
--- a/src/pondtiller/serve/core/world.py
+++ b/src/pondtiller/serve/core/world.py
@@ -22,18 +22,10 @@
 from pondtiller.coordination.retries import RetryBudget
 from pondtiller.coordination.shares import Allocator, HeldShare
 from pondtiller.serve.core.batch import Batch
-from pondtiller.serve.core.entities import (
-    Attempt,
-    Engine,
-    Request,
-    RowCounts,
-    SamplePoll,
-    SlotKey,
-    Step,
-    StepKey,
-)
+from pondtiller.serve.core.entities import Attempt, Engine, Request, RowCounts
 from pondtiller.serve.core.events import Event
 from pondtiller.serve.core.instructions import Instruction, LogEvent, LogField, WriteStore
+from pondtiller.serve.core.step_entities import SamplePoll, SlotKey, Step, StepKey
 from pondtiller.serve.core.timers import Timer, TimerKind
 from pondtiller.serve.core.views import (
     EngineDuty,
--- a/src/pondtiller/serve/daemon/trainer_api.py
+++ b/src/pondtiller/serve/daemon/trainer_api.py
@@ -10,7 +10,6 @@
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import Exchange, failure_response
-from pondtiller.serve.core.entities import Sample, StepKey
 from pondtiller.serve.core.events import (
     SamplesAcknowledged,
     SamplesRead,
@@ -26,6 +25,7 @@
     RedirectTrainer,
 )
 from pondtiller.serve.core.sample_bodies import SampleBody, segment_bodies
+from pondtiller.serve.core.step_entities import Sample, StepKey
 from pondtiller.serve.daemon.runtime import Answer, Runtime
 from pondtiller.table.sheet import explain
 
--- a/src/pondtiller/serve/emulator/trainer.py
+++ b/src/pondtiller/serve/emulator/trainer.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from pondtiller.serve.core.entities import Sample
+from pondtiller.serve.core.step_entities import Sample
 
 READ_WAIT_SECONDS = 5.0
 """How long a read waits for samples. Chosen, not measured."""
--- a/src/pondtiller/serve/emulator/trainer_client.py
+++ b/src/pondtiller/serve/emulator/trainer_client.py
@@ -12,8 +12,8 @@
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.process import clock
-from pondtiller.serve.core.entities import Sample
 from pondtiller.serve.core.sample_bodies import SampleBody
+from pondtiller.serve.core.step_entities import Sample
 from pondtiller.serve.core.tokens import Segment
 from pondtiller.serve.emulator.trainer import (
     Acknowledge,
--- a/src/pondtiller/serve/simulation/trainers.py
+++ b/src/pondtiller/serve/simulation/trainers.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass
 
 from pondtiller.errors import ErrorKind
-from pondtiller.serve.core.entities import StepKey
 from pondtiller.serve.core.events import (
     SamplesAcknowledged,
     SamplesRead,
@@ -20,6 +19,7 @@
     FailTrainer,
     RedirectTrainer,
 )
+from pondtiller.serve.core.step_entities import StepKey
 from pondtiller.serve.emulator.trainer import (
     Acknowledge,
     OpenStep,
--- a/src/pondtiller/serve/systems/drain.py
+++ b/src/pondtiller/serve/systems/drain.py
@@ -4,7 +4,7 @@
 from pondtiller.serve.core.instructions import Drained
 from pondtiller.serve.core.timers import TimerKind
 from pondtiller.serve.core.world import World
-from pondtiller.serve.systems.registers import candidates
+from pondtiller.serve.systems.replica_repair import candidates
 
 CHECK_SECONDS = 0.2
 """How often a draining daemon looks whether its work has ended. Chosen, not measured."""
--- a/src/pondtiller/serve/systems/slots.py
+++ b/src/pondtiller/serve/systems/slots.py
@@ -8,16 +8,7 @@
 
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.serve.core import constants
-from pondtiller.serve.core.entities import (
-    Request,
-    RequestSpec,
-    Sample,
-    Slot,
-    SlotKey,
-    SlotState,
-    Step,
-    StepKey,
-)
+from pondtiller.serve.core.entities import Request, RequestSpec
 from pondtiller.serve.core.events import (
     RequestFinished,
     RolloutStarted,
@@ -25,6 +16,7 @@
     ScoreArrived,
 )
 from pondtiller.serve.core.instructions import ScoreSample
+from pondtiller.serve.core.step_entities import Sample, Slot, SlotKey, SlotState, Step, StepKey
 from pondtiller.serve.core.timers import TimerKind
 from pondtiller.serve.core.tokens import oldest_version
 from pondtiller.serve.core.world import World
--- a/src/pondtiller/serve/systems/store.py
+++ b/src/pondtiller/serve/systems/store.py
@@ -1,6 +1,7 @@
-"""The platform's object service: list once, watch where it is this daemon's duty, adopt.
+"""The platform's object service: listed once, watched by some, adopted by all.
 
-Few daemons of a zone watch; all others get documents from their peers.
+Few daemons of a zone watch; all others get documents from their peers. Owns `World.store` and
+`World.stored_replicas`; the status objects of zones are written by `status`.
 """
 
 from result import Err, Ok
@@ -22,7 +23,7 @@
 from pondtiller.serve.core.timers import TimerKind
 from pondtiller.serve.core.views import StoredReplicas
 from pondtiller.serve.core.world import World
-from pondtiller.serve.systems import fleet, peers, registers
+from pondtiller.serve.systems import fleet, peers, shard_documents
 from pondtiller.table import sheet
 
 DUTY_CHECK_SECONDS = 2.0
@@ -80,7 +81,7 @@
     match replica_configuration.parse(stored.body):
         case Ok(configuration):
             world.stored_replicas = StoredReplicas(stored.revision, configuration)
-            registers.spread_configuration(world, configuration, now)
+            shard_documents.spread_configuration(world, configuration, now)
         case Err(problem):
             world.log("document_invalid", document=stored.name, problem=problem)
 
@@ -133,7 +134,7 @@
         elif document.name == constants.FLEET_DOCUMENT:
             fleet.adopt_fleet(world, document)
         elif document.name.startswith(replica_configuration.DOCUMENT_PREFIX):
-            registers.adopt_shard(world, document, now)
+            shard_documents.adopt_shard(world, document, now)
     if adopted:
         peers.spread(world)
 
--- a/src/pondtiller/serve/systems/tests/test_claims.py
+++ b/src/pondtiller/serve/systems/tests/test_claims.py
@@ -18,7 +18,7 @@
 from pondtiller.serve.core.instructions import FailAnswer, SendPeer, StartAttempt
 from pondtiller.serve.core.world import World
 from pondtiller.serve.core.world_settings import WorldSettings
-from pondtiller.serve.systems.registers import spread_configuration
+from pondtiller.serve.systems.shard_documents import spread_configuration
 from pondtiller.serve.systems.tick import tick
 from pondtiller.table.sheet import DOCUMENT_NAME, Row, RowKind, Sheet
 from pondtiller.wire.envelope import Letter
