--- a/src/pondtiller/cli/explain.py
+++ b/src/pondtiller/cli/explain.py
@@ -1,4 +1,4 @@
-"""`pondtiller explain`: the story of one identifier from the logs of many machines."""
+"""`pondtiller explain`: what the logs of many machines say of one identifier."""
 
 import gzip
 import re
@@ -57,8 +57,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """What the logs tell of an identifier."""
+class History:
+    """The lines of logs that concern an identifier, in order of time.
+
+    Attributes
+    ----------
+    deciding
+        The line that says how it ended; None where no line concerns it.
+    """
 
     lines: tuple[LogLine, ...]
     deciding: LogLine | None
@@ -80,11 +86,11 @@
     return re.sub(r"\\(.)", r"\1", value[1:-1])
 
 
-def tell(identifier: str, lines: Iterable[LogLine]) -> Story:
+def collect(identifier: str, lines: Iterable[LogLine]) -> History:
     """Return the lines that concern an identifier, in order of time, and the deciding one."""
     found = [line for line in lines if _concerns(line, identifier)]
     found.sort(key=lambda line: line.at)
-    return Story(tuple(found), _deciding(found))
+    return History(tuple(found), _deciding(found))
 
 
 def _concerns(line: LogLine, identifier: str) -> bool:
@@ -139,11 +145,11 @@
             except (OSError, EOFError) as error:
                 print_problems(self, [Problem(name, "file", str(error))])
                 return EXIT_BAD_INPUT
-        story = tell(identifier, lines)
-        if story.deciding is None:
+        history = collect(identifier, lines)
+        if history.deciding is None:
             self.line_error(f"{identifier} stands in none of these logs", style="error")
             return EXIT_VIOLATION
-        for line in story.lines:
+        for line in history.lines:
             self.line(f"{line.at:.3f} {line.place} {line.text}")
-        self.line(f"decided by: {story.deciding.text}")
+        self.line(f"decided by: {history.deciding.text}")
         return EXIT_OK
--- a/src/pondtiller/serve/core/entities.py
+++ b/src/pondtiller/serve/core/entities.py
@@ -24,7 +24,7 @@
     models
         Models that the engine can serve.
     leaving
-        True once anyone said so; the engine gets no new work.
+        True once the list of machines, a report or a peer says so; the engine gets no new work.
     versions
         Weight version by model, from the latest report.
     running, urgent
--- a/src/pondtiller/serve/core/views.py
+++ b/src/pondtiller/serve/core/views.py
@@ -41,8 +41,8 @@
 
 
 @dataclass(slots=True)
-class EngineDuty:
-    """A steward's knowledge of one engine."""
+class StewardState:
+    """What a steward knows of one engine and has ordered of it."""
 
     fence: int = 0
     minimum_fence: int = 0
--- a/src/pondtiller/serve/core/world.py
+++ b/src/pondtiller/serve/core/world.py
@@ -28,9 +28,9 @@
 from pondtiller.serve.core.step_entities import SamplePoll, SlotKey, Step, StepKey
 from pondtiller.serve.core.timers import Timer, TimerKind
 from pondtiller.serve.core.views import (
-    EngineDuty,
     MemberReport,
     PrefixHint,
+    StewardState,
     StoredReplicas,
     StoreView,
 )
@@ -96,8 +96,8 @@
         self.facts_basis: FactsBasis | None = None
         self.facts = b""
         self.prefix_hints: dict[int, PrefixHint] = {}
-        self.duties: dict[str, EngineDuty] = {}
-        self.duties_basis: tuple[tuple[str, ...], int] | None = None
+        self.stewarded: dict[str, StewardState] = {}
+        self.stewarded_basis: tuple[tuple[str, ...], int] | None = None
         self.version_learned_at: dict[str, float] = {}
 
         self.requests: dict[str, Request] = {}
--- a/src/pondtiller/serve/core/world_settings.py
+++ b/src/pondtiller/serve/core/world_settings.py
@@ -33,7 +33,7 @@
     Attributes
     ----------
     member
-        This daemon as others shall see it.
+        This daemon as it announces itself to others.
     seeds
         Members to contact first.
     shard_count
--- a/src/pondtiller/serve/daemon/settings.py
+++ b/src/pondtiller/serve/daemon/settings.py
@@ -45,7 +45,7 @@
 
 
 class DaemonSettings(Section):
-    """Everything that a daemon is told.
+    """Settings of one daemon.
 
     Attributes
     ----------
--- a/src/pondtiller/serve/simulation/cluster.py
+++ b/src/pondtiller/serve/simulation/cluster.py
@@ -25,7 +25,7 @@
 from pondtiller.serve.simulation.operators import Operators
 from pondtiller.serve.simulation.platform import PlatformNode
 from pondtiller.serve.simulation.scheduler import Scheduler
-from pondtiller.serve.simulation.surroundings import Surroundings
+from pondtiller.serve.simulation.shared_parts import SharedParts
 from pondtiller.serve.simulation.trainers import TrainerNode
 from pondtiller.serve.simulation.truth import AcceptedEdit, InProgress, LeavingEngine, Truth
 from pondtiller.table.sheet import DOCUMENT_NAME, RowKind, Sheet
@@ -60,7 +60,7 @@
         self.weights = WeightStore(deployment.weights.transfer_seconds, deployment.weights.lanes)
         self.engines = self._build_engines()
         self.daemons: dict[str, DaemonNode] = {}
-        self.around = Surroundings(
+        self.shared = SharedParts(
             self.scheduler,
             self.network,
             self.platform,
@@ -175,7 +175,7 @@
                 member.name,
                 member.zone,
                 seeds,
-                self.around,
+                self.shared,
                 self._fork(),
                 self.settings,
             )
--- a/src/pondtiller/serve/simulation/daemon.py
+++ b/src/pondtiller/serve/simulation/daemon.py
@@ -31,7 +31,7 @@
 from pondtiller.serve.core.world_settings import WorldSettings
 from pondtiller.serve.simulation.cluster_settings import ClusterSettings
 from pondtiller.serve.simulation.instruction_driver import InstructionDriver, ProcessLife
-from pondtiller.serve.simulation.surroundings import ControlCosts, Surroundings
+from pondtiller.serve.simulation.shared_parts import ControlCosts, SharedParts
 from pondtiller.serve.systems.tick import next_wakeup, tick
 from pondtiller.table.sheet import DOCUMENT_NAME
 
@@ -47,20 +47,20 @@
         name: str,
         zone: str,
         seeds: list[Member],
-        surroundings: Surroundings,
+        shared: SharedParts,
         source: random.Random,
         settings: ClusterSettings,
     ) -> None:
         self.name = name
         self.zone = zone
-        self.around = surroundings
+        self.shared = shared
         self.alive = False
         self.stopping = False
         self.costs = ControlCosts()
         self.caller_answers: dict[str, Callable[[CallerAnswer], None]] = {}
         self.trainer_answers: dict[str, Callable[[TrainerAnswer], None]] = {}
         self.on_connections_broken: Callable[[str, bool], None] | None = None
-        self._driver = InstructionDriver(name, zone, surroundings, self.costs)
+        self._driver = InstructionDriver(name, zone, shared, self.costs)
         self._seeds = seeds
         self._source = source
         self._settings = settings
@@ -131,7 +131,7 @@
             self._held.append(event)
             return
         self.world.inbox.append(event)
-        self._wake_at(self.around.scheduler.now)
+        self._wake_at(self.shared.scheduler.now)
 
     def deliver_to(self, life: int) -> Callable[[Event], None]:
         """Return a way to deliver that ends with this life of the process."""
@@ -165,7 +165,7 @@
         self.alive = False
         self._life += 1
         prefix = f"attempt-{self.name}-"
-        for engine in self.around.engines.values():
+        for engine in self.shared.engines.values():
             engine.drop_streams_of(lambda attempt_id: attempt_id.startswith(prefix))
         callers, self.caller_answers = self.caller_answers, {}
         self.trainer_answers = {}
@@ -178,8 +178,8 @@
             return
         self._wakeup = due
         life = self._life
-        delay = due - self.around.scheduler.now
-        self.around.scheduler.after(delay, lambda: self._wake(due, life))
+        delay = due - self.shared.scheduler.now
+        self.shared.scheduler.after(delay, lambda: self._wake(due, life))
 
     def _wake(self, due: float, life: int) -> None:
         if life != self._life or self._wakeup != due or not self.alive:
@@ -189,12 +189,12 @@
             self._run()
 
     def _run(self) -> None:
-        now = self.around.scheduler.now
+        now = self.shared.scheduler.now
         self._wakeup = None
         self.costs.ticks += 1
-        started = self.around.processor_seconds()
+        started = self.shared.processor_seconds()
         tick(self.world, now)
-        self.costs.busy_seconds += self.around.processor_seconds() - started
+        self.costs.busy_seconds += self.shared.processor_seconds() - started
         for instruction in self.world.take_outbox():
             self._carry_out(instruction)
         self._note_table()
@@ -204,9 +204,9 @@
 
     def _note_table(self) -> None:
         revision = self.world.documents.revision(DOCUMENT_NAME)
-        if revision != self._table_revision and self.around.on_table is not None:
+        if revision != self._table_revision and self.shared.on_table is not None:
             self._table_revision = revision
-            self.around.on_table(self.name, revision)
+            self.shared.on_table(self.name, revision)
 
     def _carry_out(self, instruction: Instruction) -> None:
         match instruction:
@@ -233,11 +233,11 @@
             return
         if not isinstance(instruction, SendText):
             del self.caller_answers[instruction.request_id]
-        delay = self.around.network.latencies.clients_seconds
-        self.around.scheduler.after(delay, lambda: answer(instruction))
+        delay = self.shared.network.latencies.clients_seconds
+        self.shared.scheduler.after(delay, lambda: answer(instruction))
 
     def _answer_trainer(self, instruction: TrainerAnswer) -> None:
         answer = self.trainer_answers.pop(instruction.call_id, None)
-        if answer is not None and not self.around.network.loses():
-            delay = self.around.network.latencies.clients_seconds
-            self.around.scheduler.after(delay, lambda: answer(instruction))
+        if answer is not None and not self.shared.network.loses():
+            delay = self.shared.network.latencies.clients_seconds
+            self.shared.scheduler.after(delay, lambda: answer(instruction))
--- a/src/pondtiller/serve/simulation/instruction_driver.py
+++ b/src/pondtiller/serve/simulation/instruction_driver.py
@@ -23,7 +23,7 @@
 )
 from pondtiller.serve.emulator.scorer import score_sample
 from pondtiller.serve.simulation.network import Deliver
-from pondtiller.serve.simulation.surroundings import ControlCosts, PeerNode, Surroundings
+from pondtiller.serve.simulation.shared_parts import ControlCosts, PeerNode, SharedParts
 from pondtiller.wire.envelope import Letter, decode, encode
 
 SCORE_SECONDS = 0.05
@@ -63,12 +63,10 @@
 class InstructionDriver:
     """Carries out the instructions of one daemon."""
 
-    def __init__(
-        self, name: str, zone: str, surroundings: Surroundings, costs: ControlCosts
-    ) -> None:
+    def __init__(self, name: str, zone: str, shared: SharedParts, costs: ControlCosts) -> None:
         self._name = name
         self._zone = zone
-        self._around = surroundings
+        self._shared = shared
         self._costs = costs
 
     def carry_out(self, instruction: OutsideInstruction, life: ProcessLife) -> None:
@@ -83,32 +81,32 @@
             case ScoreSample():
                 value = score_sample(instruction.prompt, instruction.text)
                 event = ScoreArrived(instruction.score_id, value)
-                self._around.scheduler.after(SCORE_SECONDS, lambda: life.deliver(event))
+                self._shared.scheduler.after(SCORE_SECONDS, lambda: life.deliver(event))
             case LogEvent():
-                if self._around.on_log is not None:
-                    self._around.on_log(self._name, instruction)
+                if self._shared.on_log is not None:
+                    self._shared.on_log(self._name, instruction)
             case WriteJournal():
                 pass
 
     def _send_peer(self, instruction: SendPeer) -> None:
         self._costs.messages += 1
-        target = self._around.daemons.get(instruction.target)
+        target = self._shared.daemons.get(instruction.target)
         if target is None:
             return
-        if self._around.count_bytes:
+        if self._shared.count_bytes:
             self._count_bytes(target, instruction.letter)
         event = LetterArrived(instruction.letter)
-        self._around.network.datagram(self._zone, target.zone, lambda: target.deliver(event))
+        self._shared.network.datagram(self._zone, target.zone, lambda: target.deliver(event))
 
     def _count_bytes(self, target: PeerNode, letter: Letter) -> None:
         """Encode a letter and decode it again, as the daemon's driver would."""
-        started = self._around.processor_seconds()
+        started = self._shared.processor_seconds()
         data = encode(letter)
-        encoded = self._around.processor_seconds()
+        encoded = self._shared.processor_seconds()
         decode(data)
         self._costs.bytes_sent += len(data)
         self._costs.busy_seconds += encoded - started
-        target.costs.busy_seconds += self._around.processor_seconds() - encoded
+        target.costs.busy_seconds += self._shared.processor_seconds() - encoded
 
     def _use_engine(
         self,
@@ -116,10 +114,10 @@
         life: ProcessLife,
     ) -> None:
         if isinstance(instruction, CancelAttempt):
-            for engine in self._around.engines.values():
+            for engine in self._shared.engines.values():
                 engine.cancel(instruction.attempt_id, self._zone)
             return
-        node = self._around.engines[instruction.engine]
+        node = self._shared.engines[instruction.engine]
         if isinstance(instruction, PollEngine):
             node.poll(self._zone, life.deliver)
         elif isinstance(instruction, OrderEngine):
@@ -136,10 +134,10 @@
         self, instruction: ListStore | WatchStore | WriteStore, deliver: Deliver
     ) -> None:
         if isinstance(instruction, ListStore):
-            self._around.platform.list_all(deliver)
+            self._shared.platform.list_all(deliver)
         elif isinstance(instruction, WatchStore):
-            self._around.platform.watch(instruction.revision, deliver)
+            self._shared.platform.watch(instruction.revision, deliver)
         else:
-            self._around.platform.put(
+            self._shared.platform.put(
                 instruction.name, instruction.expected_revision, instruction.body, deliver
             )
--- a/src/pondtiller/serve/simulation/run.py
+++ b/src/pondtiller/serve/simulation/run.py
@@ -125,7 +125,7 @@
 
 
 def check_edits(cluster: Cluster) -> list[Violation]:
-    """Return edits whose outcome, as operators were told it, is not true."""
+    """Return edits whose outcome, as reported to their operators, is not true."""
     body = cluster.platform.store.objects[DOCUMENT_NAME].body
     sheet = Sheet.model_validate_json(body)
     violations: list[Violation] = []
--- a/src/pondtiller/serve/simulation/surroundings.py
+++ b/src/pondtiller/serve/simulation/shared_parts.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Surroundings:
+class SharedParts:
     """What all daemons of a cluster share."""
 
     scheduler: Scheduler
--- a/src/pondtiller/serve/simulation/tests/test_growth.py
+++ b/src/pondtiller/serve/simulation/tests/test_growth.py
@@ -8,7 +8,7 @@
 from pondtiller.serve.deployment import Deployment, EngineGroup, Latencies, WeightSection
 from pondtiller.serve.simulation.cluster import Cluster
 from pondtiller.serve.simulation.cluster_settings import ClusterSettings
-from pondtiller.serve.simulation.surroundings import ControlCosts
+from pondtiller.serve.simulation.shared_parts import ControlCosts
 from pondtiller.table.sheet import Row, RowKind
 
 LARGEST_GROWTH = 1.25
--- a/src/pondtiller/serve/systems/claims.py
+++ b/src/pondtiller/serve/systems/claims.py
@@ -1,7 +1,7 @@
 """Requests that must not be repeated: claimed in a register before the first byte leaves.
 
 A later request with the same key finds the claim and gets the stored answer, waits for
-the one that runs, or is told that the outcome is unknown. It never runs a second time.
+the one that runs, or an error which says that the outcome is unknown. It never runs a second time.
 """
 
 from pondtiller import wire
--- a/src/pondtiller/serve/systems/drain.py
+++ b/src/pondtiller/serve/systems/drain.py
@@ -21,7 +21,7 @@
     if world.batch.of(DrainRequested) and not world.draining:
         world.draining = True
         world.drain_started_at = now
-        world.duties.clear()
+        world.stewarded.clear()
         world.membership.leave()
         world.log("draining", requests=len(world.requests), steps=len(world.steps))
         world.set_timer(TimerKind.DRAIN, now + ANNOUNCE_SECONDS)
--- a/src/pondtiller/serve/systems/fleet.py
+++ b/src/pondtiller/serve/systems/fleet.py
@@ -113,11 +113,11 @@
 
 def _poll(world: World, name: str, now: float) -> None:
     engine = world.engines.get(name)
-    is_used = name in world.subset or name in world.duties
+    is_used = name in world.subset or name in world.stewarded
     if engine is None or not is_used:
         return
     world.do(PollEngine(name, engine.address))
-    is_busy = bool(world.requests) or engine.reported_at is None or name in world.duties
+    is_busy = bool(world.requests) or engine.reported_at is None or name in world.stewarded
     seconds = constants.ENGINE_POLL_SECONDS if is_busy else constants.IDLE_POLL_SECONDS
     due = now + seconds * world.source.uniform(0.8, 1.2)
     world.set_timer(TimerKind.POLL_ENGINE, due, name)
--- a/src/pondtiller/serve/systems/limits.py
+++ b/src/pondtiller/serve/systems/limits.py
@@ -1,4 +1,4 @@
-"""Limits of rows: demands shares for this daemon and divides limits where it is its duty."""
+"""Limits of rows: demands shares for this daemon, and divides the limits that it allocates."""
 
 from pondtiller import wire
 from pondtiller.coordination.outbound import Outbound
--- a/src/pondtiller/serve/systems/registers.py
+++ b/src/pondtiller/serve/systems/registers.py
@@ -18,7 +18,7 @@
 
 
 def run(world: World, now: float) -> None:
-    """Handle register messages, finished operations and the repair duty."""
+    """Handle register messages, finished operations and the repair of replicas."""
     for event in world.batch.of(RegisterMessageArrived):
         _receive(world, event, now)
     changed = world.acceptor.take_changed()
--- a/src/pondtiller/serve/systems/replica_repair.py
+++ b/src/pondtiller/serve/systems/replica_repair.py
@@ -68,14 +68,14 @@
 def repair(world: World, now: float) -> None:
     """Replace lost replicas and finish what was left, where this is the member to do so."""
     sealed = world.acceptor.sealed_since(now - ABANDONED_SEAL_SECONDS)
-    on_duty = owner("repair", world.membership.live_names()) == world.name
-    if not (on_duty or sealed):
+    is_repairer = owner("repair", world.membership.live_names()) == world.name
+    if not (is_repairer or sealed):
         return
     configuration = world.proposer.configuration
     lost = {shard.shard for shard in configuration.shards if _has_lost_majority(world, shard)}
     if configuration.shards:
         world.reconfigurer.repair(configuration, candidates(world), sealed, lost, now)
-    if on_duty and world.store.listed:
+    if is_repairer and world.store.listed:
         _keep_stored(world, now)
 
 
--- a/src/pondtiller/serve/systems/steward.py
+++ b/src/pondtiller/serve/systems/steward.py
@@ -14,7 +14,7 @@
 from pondtiller.serve.core.events import OrderAnswered, OrderResult
 from pondtiller.serve.core.instructions import EngineOrder, OrderEngine
 from pondtiller.serve.core.timers import TimerKind
-from pondtiller.serve.core.views import EngineDuty
+from pondtiller.serve.core.views import StewardState
 from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.registers import change_register
 
@@ -34,22 +34,22 @@
     for answered in world.batch.of(OrderAnswered):
         _take_answer(world, answered, now)
     for engine in world.due_keys(TimerKind.ORDER_TIMEOUT):
-        duty = world.duties.get(engine)
-        if duty is not None:
-            duty.order_id = ""
+        state = world.stewarded.get(engine)
+        if state is not None:
+            state.order_id = ""
     if world.due_keys(TimerKind.STEWARD):
         world.set_timer(TimerKind.STEWARD, now + CHECK_SECONDS)
-        _choose_duties(world, now)
-        for name in world.duties:
+        _choose_engines(world, now)
+        for name in world.stewarded:
             _advance(world, name, now)
 
 
-def _choose_duties(world: World, now: float) -> None:
+def _choose_engines(world: World, now: float) -> None:
     members = tuple(world.membership.live_names_in(world.zone))
     basis = (members, world.documents.revision(constants.FLEET_DOCUMENT))
-    if basis == world.duties_basis or world.draining:
+    if basis == world.stewarded_basis or world.draining:
         return
-    world.duties_basis = basis
+    world.stewarded_basis = basis
     served_zones = {member.zone for member in world.membership.members.values()}
     wanted: set[str] = set()
     for engine in world.engines.values():
@@ -59,37 +59,37 @@
             continue
         if owner(f"steward/{engine.name}", pool) == world.name:
             wanted.add(engine.name)
-    for name in [name for name in world.duties if name not in wanted]:
-        del world.duties[name]
-    for name in sorted(wanted - set(world.duties)):
-        world.duties[name] = EngineDuty()
+    for name in [name for name in world.stewarded if name not in wanted]:
+        del world.stewarded[name]
+    for name in sorted(wanted - set(world.stewarded)):
+        world.stewarded[name] = StewardState()
         if not world.timer_is_set(TimerKind.POLL_ENGINE, name):
             world.set_timer(TimerKind.POLL_ENGINE, now, name)
 
 
 def _advance(world: World, name: str, now: float) -> None:
-    duty = world.duties[name]
+    state = world.stewarded[name]
     engine = world.engines.get(name)
-    if engine is None or engine.leaving or duty.order_id or duty.fence_operation is not None:
+    if engine is None or engine.leaving or state.order_id or state.fence_operation is not None:
         return
-    if engine.reported_at is None or now < duty.wait_until:
+    if engine.reported_at is None or now < state.wait_until:
         return
     for model in sorted(engine.models):
         version = world.model_versions.get(model, 0)
         if engine.versions.get(model, 0) < version:
-            _order_version(world, engine, duty, model, version, now)
+            _order_version(world, engine, state, model, version, now)
             return
 
 
 def _order_version(
-    world: World, engine: Engine, duty: EngineDuty, model: str, version: int, now: float
+    world: World, engine: Engine, state: StewardState, model: str, version: int, now: float
 ) -> None:
-    if not duty.fence:
-        _take_fence(world, engine.name, duty, now)
-    elif duty.prefetched.get(model, 0) < version:
-        _order(world, engine, duty, PREFETCH, model, version, now)
+    if not state.fence:
+        _take_fence(world, engine.name, state, now)
+    elif state.prefetched.get(model, 0) < version:
+        _order(world, engine, state, PREFETCH, model, version, now)
     elif _wave_has_come(world, engine, model, now):
-        _order(world, engine, duty, ACTIVATE, model, version, now)
+        _order(world, engine, state, ACTIVATE, model, version, now)
 
 
 def _wave_has_come(world: World, engine: Engine, model: str, now: float) -> bool:
@@ -102,27 +102,27 @@
 def _order(
     world: World,
     engine: Engine,
-    duty: EngineDuty,
+    state: StewardState,
     kind: str,
     model: str,
     version: int,
     now: float,
 ) -> None:
-    duty.order_id = world.next_id("order")
-    order = EngineOrder(duty.order_id, duty.fence, kind, model, version)
-    duty.order = order
+    state.order_id = world.next_id("order")
+    order = EngineOrder(state.order_id, state.fence, kind, model, version)
+    state.order = order
     world.do(OrderEngine(engine.name, engine.address, order))
     due = now + constants.ORDER_TIMEOUT_SECONDS
     world.set_timer(TimerKind.ORDER_TIMEOUT, due, engine.name)
 
 
 def _take_answer(world: World, answered: OrderAnswered, now: float) -> None:
-    duty = world.duties.get(answered.engine)
-    if duty is None or duty.order_id != answered.order_id or duty.order is None:
+    state = world.stewarded.get(answered.engine)
+    if state is None or state.order_id != answered.order_id or state.order is None:
         return
-    duty.order_id = ""
+    state.order_id = ""
     world.clear_timer(TimerKind.ORDER_TIMEOUT, answered.engine)
-    order = duty.order
+    order = state.order
     world.log(
         "order_answered",
         engine=answered.engine,
@@ -131,27 +131,27 @@
         result=answered.result,
     )
     if answered.result == OrderResult.DONE:
-        _take_done(world, answered.engine, duty, order)
+        _take_done(world, answered.engine, state, order)
         world.set_timer(TimerKind.STEWARD, now)
         return
-    duty.failures += 1
-    duty.wait_until = now + FAILURE_BACKOFF.delay(duty.failures, world.source)
+    state.failures += 1
+    state.wait_until = now + FAILURE_BACKOFF.delay(state.failures, world.source)
     if answered.result == OrderResult.STALE_FENCE:
-        duty.minimum_fence = duty.fence + 1
-        duty.fence = 0
+        state.minimum_fence = state.fence + 1
+        state.fence = 0
 
 
-def _take_done(world: World, name: str, duty: EngineDuty, order: EngineOrder) -> None:
-    duty.failures = 0
-    duty.prefetched[order.model] = max(order.version, duty.prefetched.get(order.model, 0))
+def _take_done(world: World, name: str, state: StewardState, order: EngineOrder) -> None:
+    state.failures = 0
+    state.prefetched[order.model] = max(order.version, state.prefetched.get(order.model, 0))
     engine = world.engines.get(name)
     if order.kind == ACTIVATE and engine is not None:
         engine.versions[order.model] = order.version
         engine.broken = False
 
 
-def _take_fence(world: World, name: str, duty: EngineDuty, now: float) -> None:
-    minimum = duty.minimum_fence
+def _take_fence(world: World, name: str, state: StewardState, now: float) -> None:
+    minimum = state.minimum_fence
     key = constants.STEWARD_PREFIX + name
     shard = world.proposer.configuration.shard_of(key)
     # A shard that was reset starts far above every fence that it gave before.
@@ -170,7 +170,7 @@
         return bytes(record)
 
     def settle(world: World, outcome: RegisterOutcome, now: float) -> None:
-        held = world.duties.get(name)
+        held = world.stewarded.get(name)
         if held is None:
             return
         held.fence_operation = None
@@ -180,4 +180,4 @@
             world.set_timer(TimerKind.STEWARD, now)
 
     timeout = constants.STEWARD_TIMEOUT_SECONDS
-    duty.fence_operation = change_register(world, key, change, now, timeout, settle)
+    state.fence_operation = change_register(world, key, change, now, timeout, settle)
--- a/src/pondtiller/serve/systems/store.py
+++ b/src/pondtiller/serve/systems/store.py
@@ -26,7 +26,7 @@
 from pondtiller.serve.systems import fleet, peers, shard_documents
 from pondtiller.table import sheet
 
-DUTY_CHECK_SECONDS = 2.0
+WATCHER_CHECK_SECONDS = 2.0
 """How often a daemon looks whether it is a watcher of its zone. Chosen, not measured."""
 DOCUMENTS = (sheet.DOCUMENT_NAME, constants.FLEET_DOCUMENT)
 
@@ -98,7 +98,7 @@
         store.is_busy = True
         world.do(WatchStore(store.revision))
     else:
-        world.set_timer(TimerKind.STORE, now + DUTY_CHECK_SECONDS)
+        world.set_timer(TimerKind.STORE, now + WATCHER_CHECK_SECONDS)
 
 
 def _is_watcher(world: World) -> bool:
--- a/src/pondtiller/store/mirror.py
+++ b/src/pondtiller/store/mirror.py
@@ -148,7 +148,7 @@
         is_known = all(self.kinds[kind].at for kind in ALWAYS)
         return self.is_on and is_known and self.age_seconds < FRESH_SECONDS
 
-    def _may_tell(self, kind: str) -> bool:
+    def _may_answer(self, kind: str) -> bool:
         """Return whether the mirror may answer for a kind; a further one counts for itself only."""
         times = self._further.get(kind)
         if times is None:
@@ -158,22 +158,22 @@
 
     async def run(self) -> None:
         """Follow the store while enough gateways follow this replica, until cancelled."""
-        was_told: set[str] = set()
+        answered_before: set[str] = set()
         while True:
             is_wanted = self._expected_followers() >= FEWEST_FOLLOWERS
             if is_wanted != self.is_on:
                 await self._switch(is_wanted)
-            told = {kind for kind in self.kinds if self._may_tell(kind)}
-            if told != was_told:
+            answered = {kind for kind in self.kinds if self._may_answer(kind)}
+            if answered != answered_before:
                 logs.decision(
                     "mirror",
                     fresh=self.is_fresh(),
                     on=self.is_on,
                     age=self.age_seconds,
-                    told=",".join(sorted(told)),
+                    told=",".join(sorted(answered)),
                 )
                 await self._wake()
-            was_told = told
+            answered_before = answered
             await curio.sleep(CHECK_SECONDS)
 
     async def _switch(self, is_on: bool) -> None:
@@ -223,7 +223,7 @@
     def _page(self, message: ReadMirror) -> MirrorPage:
         if not self.is_on:
             return MirrorPage(status=MirrorStatus.NOT_MIRRORED)
-        if not self._may_tell(message.kind):
+        if not self._may_answer(message.kind):
             return MirrorPage(status=MirrorStatus.UNAVAILABLE)
         kind = self.kinds[message.kind]
         return kind.since(message.at) if message.at else kind.listing()
