--- a/src/pondtiller/address.py
+++ b/src/pondtiller/address.py
@@ -1,4 +1,7 @@
-"""Where a process listens: an IP address and a port."""
+"""Where a process listens: an IP address and a port.
+
+Text is not checked here: the settings have done so.
+"""
 
 from dataclasses import dataclass
 
--- a/src/pondtiller/cli/check.py
+++ b/src/pondtiller/cli/check.py
@@ -1,4 +1,7 @@
-"""`pondtiller check`: says what is wrong with settings, tables and deployments."""
+"""`pondtiller check`: says what is wrong with settings, tables and deployments.
+
+Reads files only: it asks no daemon and changes nothing.
+"""
 
 import tomllib
 from pathlib import Path
--- a/src/pondtiller/cli/common.py
+++ b/src/pondtiller/cli/common.py
@@ -1,4 +1,7 @@
-"""What several commands share: exit codes, numbers from options, the platform's address."""
+"""What several commands share: exit codes, numbers from options, the platform's address.
+
+Owns no state and calls nothing outside.
+"""
 
 from cleo.commands.command import Command
 from result import Err, Ok, Result
--- a/src/pondtiller/cli/deployed.py
+++ b/src/pondtiller/cli/deployed.py
@@ -1,4 +1,8 @@
-"""`pondtiller gateway` and `pondtiller replica`: the two programs of a deployment."""
+"""`pondtiller gateway` and `pondtiller replica`: the two programs of a deployment.
+
+Finds the settings file by option or environment; `programs` checks it and runs the process until it
+is stopped.
+"""
 
 import os
 from collections.abc import Callable
--- a/src/pondtiller/cli/serve.py
+++ b/src/pondtiller/cli/serve.py
@@ -1,4 +1,8 @@
-"""`pondtiller serve`: one daemon process."""
+"""`pondtiller serve`: one daemon process.
+
+Reads the settings file and flags, and turns the operating system's request to stop into a planned
+one. The daemon is `serve.daemon.process`.
+"""
 
 import tomllib
 from pathlib import Path
--- a/src/pondtiller/cli/table.py
+++ b/src/pondtiller/cli/table.py
@@ -1,4 +1,7 @@
-"""`pondtiller table ...`: operators see and edit the table."""
+"""`pondtiller table ...`: operators see and edit the table.
+
+Commands only: `table.editor` decides each step of an edit, `cli.table_edits` makes the calls.
+"""
 
 from pathlib import Path
 
--- a/src/pondtiller/cli/table_key.py
+++ b/src/pondtiller/cli/table_key.py
@@ -1,4 +1,7 @@
-"""`pondtiller table key`: a tenant's keys, of which the table holds digests only."""
+"""`pondtiller table key`: a tenant's keys, of which the table holds digests only.
+
+A key is read from a file or standard input, never from the command line, and is written nowhere.
+"""
 
 import sys
 from pathlib import Path
--- a/src/pondtiller/cli/table_view.py
+++ b/src/pondtiller/cli/table_view.py
@@ -1,4 +1,8 @@
-"""The table as people see it: cells with the status that the zones report."""
+"""The table as people see it: cells with the status that the zones report.
+
+For the daemons of `serve`, whose status objects are read from the platform; a gateway's own view is
+`cli.table_status`. Formats only.
+"""
 
 from dataclasses import dataclass
 
--- a/src/pondtiller/errors.py
+++ b/src/pondtiller/errors.py
@@ -1,4 +1,9 @@
-"""The closed list of error kinds and the one table from kind to answer."""
+"""The closed list of error kinds and the one table from kind to answer.
+
+Whether a request ran, whether it may be sent again and, unless the failure knows better, when: all
+of it follows from the kind. The HTTP form is written by `httpio.server`. Which kind applies is
+decided where the request is refused or fails.
+"""
 
 from dataclasses import dataclass
 from enum import StrEnum
--- a/src/pondtiller/hashing.py
+++ b/src/pondtiller/hashing.py
@@ -1,4 +1,8 @@
-"""Rendezvous hashing: every member computes the same owner from the same view."""
+"""Rendezvous hashing and digests: every process computes the same from the same input.
+
+Pure and without a seed. `digest` is fast and not cryptographic; `content_digest` is for texts whose
+sender must not be able to choose the digest.
+"""
 
 import hashlib
 from collections.abc import Iterable
--- a/src/pondtiller/serve/core/constants.py
+++ b/src/pondtiller/serve/core/constants.py
@@ -1,4 +1,8 @@
-"""Sizes and times that daemons agree on; seconds unless a name says otherwise."""
+"""Sizes and times that daemons agree on; seconds unless a name says otherwise.
+
+All daemons must use the same values: leases and retentions are promises to other members. A time
+that only one system uses is a constant of that system's module.
+"""
 
 DEFAULT_LIVE_DEADLINE_SECONDS = 30.0
 """Of a live request whose row and caller give none. Chosen, not measured: longer than any answer of
--- a/src/pondtiller/serve/core/instructions.py
+++ b/src/pondtiller/serve/core/instructions.py
@@ -1,4 +1,8 @@
-"""Everything that a daemon can ask its driver to do, as typed instructions."""
+"""Everything that a daemon can ask its driver to do, as typed instructions.
+
+A system appends them to `World.outbox`; the driver carries them out in their order after the tick
+and brings answers back as events. A new one goes into `Instruction` and into both drivers.
+"""
 
 from dataclasses import dataclass
 
--- a/src/pondtiller/serve/core/reports.py
+++ b/src/pondtiller/serve/core/reports.py
@@ -1,4 +1,7 @@
-"""What a daemon reports of itself to its zone's status writer."""
+"""What a daemon reports of itself to its zone's status writer.
+
+Sent between daemons as JSON; the zone's object, which is written from it, is in `systems.status`.
+"""
 
 from pydantic import BaseModel, ConfigDict
 
--- a/src/pondtiller/serve/core/tokens.py
+++ b/src/pondtiller/serve/core/tokens.py
@@ -1,4 +1,7 @@
-"""Pieces of an answer: chunks as engines send them and segments by weight version."""
+"""Pieces of an answer: chunks as engines send them and segments by weight version.
+
+Values only. Whether a chunk continues an answer is decided in `systems.attempts`.
+"""
 
 from dataclasses import dataclass
 
--- a/src/pondtiller/serve/daemon/engine_client.py
+++ b/src/pondtiller/serve/daemon/engine_client.py
@@ -1,4 +1,9 @@
-"""Talks to engines: streams answers, polls load, gives orders."""
+"""Calls to engines: streams of answers, polls of load, orders.
+
+Posts what engines send as events, and for an attempt that failed whether it may have run: only a
+request that was never sent, or an engine's own refusal, proves that it did not. Owns no state
+but the HTTP client's connections. Retries nothing; `systems.attempts` does.
+"""
 
 import json
 from collections.abc import Awaitable, Callable
--- a/src/pondtiller/serve/daemon/journal.py
+++ b/src/pondtiller/serve/daemon/journal.py
@@ -1,4 +1,8 @@
-"""The register journal on a small disk: SQLite, written before any reply leaves."""
+"""The register journal on a small disk: SQLite, written before any reply leaves.
+
+Owns the file in the data folder; it outlives restarts and carries the number under which the
+member's registers are known. Holds registers only: requests, steps and documents are not kept.
+"""
 
 import sqlite3
 from pathlib import Path
--- a/src/pondtiller/serve/daemon/metrics.py
+++ b/src/pondtiller/serve/daemon/metrics.py
@@ -1,4 +1,8 @@
-"""`/metrics`: what the daemon counts, by prometheus-client."""
+"""`/metrics` of a daemon, by prometheus-client.
+
+Reads the world's counts at each scrape, so nothing is counted twice; counters begin at 0 with the
+process. Gateways and replicas have their own: `gateway.pages.metrics_text`, `replica.metrics_text`.
+"""
 
 from collections.abc import Iterator
 
--- a/src/pondtiller/serve/daemon/peer_transport.py
+++ b/src/pondtiller/serve/daemon/peer_transport.py
@@ -1,4 +1,8 @@
-"""Peer messages: datagrams for small letters, one short connection for large ones."""
+"""Sends and receives peers' letters: datagrams, and a short connection for a large letter.
+
+Owns the daemon's datagram socket and the listener on the same port. A letter may be lost, doubled
+or overtaken; the protocols above bear that and repeat. Does not know what a letter says.
+"""
 
 from collections.abc import Awaitable, Callable
 
--- a/src/pondtiller/serve/daemon/platform_client.py
+++ b/src/pondtiller/serve/daemon/platform_client.py
@@ -1,4 +1,9 @@
-"""Talks to the platform: object service and scorer."""
+"""Calls to the platform: its object service and the scorer.
+
+Each call posts one event, also when it fails: what to do then is decided by the systems. A write
+without an answer is reported as unknown, since it may have taken effect. Owns no state. `serve`
+reads the platform here; gateways and replicas do so in `platform`.
+"""
 
 import json
 from collections.abc import Awaitable, Callable
--- a/src/pondtiller/serve/daemon/process.py
+++ b/src/pondtiller/serve/daemon/process.py
@@ -1,4 +1,9 @@
-"""One daemon: binds its sockets, builds the world and serves until it is drained."""
+"""One daemon: binds its sockets, builds the world and serves until it is drained.
+
+Owns the sockets, the journal and the HTTP routes. The number under which its registers are known
+comes from the journal where there is a data folder; without one, each start is a new member with
+empty registers.
+"""
 
 import random
 
--- a/src/pondtiller/serve/daemon/runtime.py
+++ b/src/pondtiller/serve/daemon/runtime.py
@@ -1,4 +1,9 @@
-"""Runs the pure systems: one task ticks the world and carries out its instructions."""
+"""Runs the systems on real time: one task ticks the world and carries out its instructions.
+
+Owns the queues of those who wait for an answer and the tasks of attempts; both end with the
+process. A journal entry is written before the instructions that follow it, so a promise is on disk
+before its reply leaves. Decides nothing: `systems.tick` does.
+"""
 
 import curio
 
--- a/src/pondtiller/serve/daemon/settings.py
+++ b/src/pondtiller/serve/daemon/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a daemon: a TOML file, overridden by flags, checked on entry."""
+"""Settings of a daemon: a TOML file, overridden by flags, checked on entry.
+
+Unknown keys are refused. Fixed from the start; what operators change at run time is the table.
+"""
 
 import ipaddress
 from pathlib import Path
--- a/src/pondtiller/serve/daemon/trainer_api.py
+++ b/src/pondtiller/serve/daemon/trainer_api.py
@@ -1,4 +1,9 @@
-"""The trainers' interface: open a step, read samples by cursor, acknowledge, publish."""
+"""The trainers' interface: open a step, read samples by cursor, acknowledge, publish.
+
+Turns each call into an event, waits for its one answer and writes it as JSON. Owns no state: steps
+are in the world, and a call whose answer was lost may be repeated. A call for a step that another
+daemon makes is answered by a redirect.
+"""
 
 import re
 from typing import Annotated
--- a/src/pondtiller/serve/demo/load.py
+++ b/src/pondtiller/serve/demo/load.py
@@ -1,4 +1,8 @@
-"""Live callers over HTTP: open-loop traffic on a running service."""
+"""Live callers over HTTP: open-loop traffic on a running service.
+
+Requests leave at their planned times, whether or not earlier ones were answered. Owns what the
+callers saw; judges nothing.
+"""
 
 import json
 import random
--- a/src/pondtiller/serve/demo/run.py
+++ b/src/pondtiller/serve/demo/run.py
@@ -1,4 +1,8 @@
-"""Runs the demo: a burst on real sockets, then a verdict for each property."""
+"""Runs the demo: a burst on real sockets, then a verdict for each property.
+
+Daemons, stand-ins, trainers and callers share one process and one loop. The verdict comes from what
+engines, callers and trainers saw, by the checks of the simulation.
+"""
 
 import random
 from collections.abc import Awaitable, Callable
--- a/src/pondtiller/serve/deployment.py
+++ b/src/pondtiller/serve/deployment.py
@@ -1,4 +1,8 @@
-"""A deployment: zones, latencies, daemons, engines, traffic, trainers and first table."""
+"""A deployment: zones, latencies, daemons, engines, traffic, trainers and first table.
+
+What the emulator, the demo and the simulation are built from, read from the shipped files or one's
+own. Real daemons read `daemon.settings` instead.
+"""
 
 from importlib import resources
 from pathlib import Path
--- a/src/pondtiller/serve/emulator/engine_server.py
+++ b/src/pondtiller/serve/emulator/engine_server.py
@@ -1,4 +1,8 @@
-"""One engine model behind HTTP."""
+"""One engine model behind HTTP.
+
+Owns the open streams and the orders under way. A caller that leaves cancels its request in the
+model. Timing and answers are the model's: `emulator.engine`.
+"""
 
 import json
 from collections.abc import Callable
--- a/src/pondtiller/serve/emulator/fleet.py
+++ b/src/pondtiller/serve/emulator/fleet.py
@@ -1,4 +1,7 @@
-"""Settings of the stand-ins of a deployment."""
+"""Settings of the stand-ins of a deployment, and their entries in the list of machines.
+
+Pure: the emulator and the simulation build the same engines and trainers from one deployment.
+"""
 
 from typing import TypedDict
 
--- a/src/pondtiller/serve/emulator/load_history.py
+++ b/src/pondtiller/serve/emulator/load_history.py
@@ -1,4 +1,7 @@
-"""The load of an engine over the latest moments: reports show it as it was some time ago."""
+"""The load of an engine over the latest moments: reports show it as it was some time ago.
+
+Real engines' reports lag, and daemons must bear it. Lost with the engine.
+"""
 
 from dataclasses import dataclass
 
--- a/src/pondtiller/serve/emulator/object_store.py
+++ b/src/pondtiller/serve/emulator/object_store.py
@@ -1,4 +1,8 @@
-"""The platform's object service: objects with versions, compare-and-swap, list, watch."""
+"""The platform's object service: objects with versions, compare-and-swap, list, watch.
+
+Owns the objects and their latest changes, in memory. Outages, lost answers and old reads are made
+by its callers: `emulator.platform_server` over HTTP, `simulation.platform` on the virtual clock.
+"""
 
 from dataclasses import dataclass, field
 from enum import Enum
--- a/src/pondtiller/serve/emulator/platform_server.py
+++ b/src/pondtiller/serve/emulator/platform_server.py
@@ -1,4 +1,8 @@
-"""The object service and the scorer behind HTTP."""
+"""The object service and the scorer behind HTTP.
+
+Owns only whether it is down; objects are in `ObjectStore`. A watch is answered by looking at the
+changes again and again until there are some or its time is over.
+"""
 
 import json
 from typing import TypedDict
--- a/src/pondtiller/serve/emulator/scorer.py
+++ b/src/pondtiller/serve/emulator/scorer.py
@@ -1,4 +1,7 @@
-"""A scorer: judges a sample; the score is fixed by prompt and text."""
+"""A scorer: judges a sample; the score is fixed by prompt and text.
+
+So samples can be checked after a run. No state.
+"""
 
 from pondtiller.hashing import score
 
--- a/src/pondtiller/serve/emulator/server.py
+++ b/src/pondtiller/serve/emulator/server.py
@@ -1,4 +1,8 @@
-"""All stand-ins of a deployment on loopback, in one process."""
+"""All stand-ins of a deployment on loopback, in one process.
+
+Owns the servers of the platform and of each engine; everything is lost with the process. Trainers
+and callers are not among them: `trainer_client` and `demo.load` are.
+"""
 
 import json
 import random
--- a/src/pondtiller/serve/emulator/trainer_client.py
+++ b/src/pondtiller/serve/emulator/trainer_client.py
@@ -1,4 +1,8 @@
-"""Drives a trainer model over HTTP against real daemons."""
+"""Drives a trainer model over HTTP against real daemons.
+
+Owns the daemon that it talks to, and follows redirects. What is called next, and the cursor that
+survives a lost answer, is the model's: `emulator.trainer`.
+"""
 
 import json
 import random
--- a/src/pondtiller/serve/simulation/callers.py
+++ b/src/pondtiller/serve/simulation/callers.py
@@ -1,4 +1,8 @@
-"""Callers of a simulated cluster: open-loop traffic, each checks its own answers."""
+"""Callers of a simulated cluster: open-loop traffic, each checks its own answers.
+
+Owns the tries under way. A caller retries as an error allows it, at other daemons; all tries go
+into `Truth`, which `checks` judges.
+"""
 
 import random
 from collections.abc import Callable
--- a/src/pondtiller/serve/simulation/cluster.py
+++ b/src/pondtiller/serve/simulation/cluster.py
@@ -1,4 +1,8 @@
-"""Builds a deployment on the virtual clock and wires its parts together."""
+"""Builds a deployment on the virtual clock and wires its parts together.
+
+Owns the seeded source, from which each part gets one of its own in a fixed order, and the record of
+what happened. Changes by itself nothing while it runs: faults do.
+"""
 
 import json
 import random
--- a/src/pondtiller/serve/simulation/cluster_settings.py
+++ b/src/pondtiller/serve/simulation/cluster_settings.py
@@ -1,4 +1,7 @@
-"""How a simulated cluster is built."""
+"""How a simulated cluster is built: seed, switches of mechanisms, what is counted.
+
+The deployment itself is given beside it.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
--- a/src/pondtiller/serve/simulation/engines.py
+++ b/src/pondtiller/serve/simulation/engines.py
@@ -1,4 +1,8 @@
-"""Engines of a simulated cluster: the emulator's model on the virtual clock."""
+"""Engines of a simulated cluster: the emulator's model on the virtual clock.
+
+Owns an engine's open streams and whether it is alive. Chunks pass the modelled network and may come
+doubled or overtaken; what the engine really made goes into `Truth`.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
--- a/src/pondtiller/serve/simulation/faults.py
+++ b/src/pondtiller/serve/simulation/faults.py
@@ -1,4 +1,8 @@
-"""Faults as typed values, and what each does to a cluster."""
+"""Faults as typed values, and what each does to a cluster.
+
+Scheduled before the run; a fault draws nothing itself. When and whom it strikes is drawn in
+`scenarios`.
+"""
 
 from dataclasses import dataclass
 
--- a/src/pondtiller/serve/simulation/measures.py
+++ b/src/pondtiller/serve/simulation/measures.py
@@ -1,4 +1,8 @@
-"""What a run measured: trainer idle time, staleness, live cost, recovery, control costs."""
+"""What a run measured: trainer idle time, staleness, live cost, recovery, control costs.
+
+Computed at the end from `Truth` and the daemons' counts. Figures only: what must hold is checked in
+`checks`.
+"""
 
 import statistics
 
--- a/src/pondtiller/serve/simulation/network.py
+++ b/src/pondtiller/serve/simulation/network.py
@@ -1,4 +1,8 @@
-"""The modelled network: latency by zone, loss, duplication, reordering, one-way cuts."""
+"""The modelled network: latency by zone, loss, duplication, reordering, one-way cuts.
+
+Owns the cuts in force and the count of what was dropped. Draws from its own seeded source. Streams
+of answers keep their order unless a fault disturbs it; that is done in `engines`.
+"""
 
 import random
 from collections.abc import Callable
--- a/src/pondtiller/serve/simulation/operators.py
+++ b/src/pondtiller/serve/simulation/operators.py
@@ -1,4 +1,8 @@
-"""Operators of a simulated cluster: they edit the table, sometimes at the same time."""
+"""Operators of a simulated cluster: they edit the table, sometimes at the same time.
+
+Owns the identifiers of edits that were accepted and refused, which the run compares with the table
+at the end. How an edit reaches the object service is decided by `table.editor`.
+"""
 
 import random
 from dataclasses import dataclass, field
--- a/src/pondtiller/serve/simulation/platform.py
+++ b/src/pondtiller/serve/simulation/platform.py
@@ -1,4 +1,8 @@
-"""The simulated platform: object service with outages and lost answers, and the scorer."""
+"""The simulated platform: object service with outages, lost answers and old reads.
+
+Owns the earlier states that an old read may show; objects are in the emulator's `ObjectStore`. The
+scorer is simulated in `instruction_driver`.
+"""
 
 import random
 from collections.abc import Callable
--- a/src/pondtiller/serve/simulation/run.py
+++ b/src/pondtiller/serve/simulation/run.py
@@ -1,4 +1,7 @@
-"""Runs one scenario with one seed and returns its measures and violations."""
+"""Runs one scenario with one seed and returns its measures and violations.
+
+The report holds nothing of the machine that ran it, so a seed gives the same bytes everywhere.
+"""
 
 import random
 
--- a/src/pondtiller/serve/simulation/scenarios.py
+++ b/src/pondtiller/serve/simulation/scenarios.py
@@ -1,4 +1,8 @@
-"""Named scenarios: fault schedules drawn from the seed."""
+"""Named scenarios: fault schedules drawn from the seed.
+
+Each is a function of the deployment, the length of the load and a seeded source; the order of its
+draws is part of a seed's meaning. What a fault does is in `faults`.
+"""
 
 import random
 from collections.abc import Callable
--- a/src/pondtiller/serve/simulation/scheduler.py
+++ b/src/pondtiller/serve/simulation/scheduler.py
@@ -1,4 +1,7 @@
-"""The virtual clock: runs callbacks at simulated times."""
+"""The virtual clock: runs callbacks at simulated times.
+
+Callbacks that are due together run in the order in which they were set, so a run can be repeated.
+"""
 
 from collections.abc import Callable
 
--- a/src/pondtiller/serve/simulation/trainers.py
+++ b/src/pondtiller/serve/simulation/trainers.py
@@ -1,4 +1,8 @@
-"""Trainers of a simulated cluster: the emulator's model, calling daemons."""
+"""Trainers of a simulated cluster: the emulator's model, calling daemons.
+
+Owns the one call under way and the daemon that it talks to; an answer may be lost, and the call is
+made again. The cursor is the model's.
+"""
 
 import random
 from collections.abc import Callable
--- a/src/pondtiller/serve/simulation/truth.py
+++ b/src/pondtiller/serve/simulation/truth.py
@@ -1,4 +1,7 @@
-"""What really happened, as engines, callers and trainers saw it; daemons add nothing here."""
+"""What really happened, as engines, callers and trainers saw it; daemons add nothing here.
+
+Grows through a run and is judged at its end by `checks` and `measures`.
+"""
 
 from dataclasses import dataclass, field
 
--- a/src/pondtiller/serve/systems/admission.py
+++ b/src/pondtiller/serve/systems/admission.py
@@ -1,4 +1,9 @@
-"""Admits requests: row, readiness, queue bound and the row's share of its limit."""
+"""Admits requests: row, readiness, queue bound and the row's share of its limit.
+
+What cannot be served is refused at once, as not run; what waits for a share waits for a bounded
+time. Makes the rows of `World.requests`. Samples of steps are not refused here: they wait, and
+`steps` bounds how many there are.
+"""
 
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.serve.core import constants
--- a/src/pondtiller/serve/systems/attempts.py
+++ b/src/pondtiller/serve/systems/attempts.py
@@ -1,4 +1,9 @@
-"""Attempts on engines: takes chunks in order, checks versions, retries what failed."""
+"""Attempts on engines: takes chunks in order, checks versions, retries what failed.
+
+Reads and ends rows of `World.attempts`; `dispatch` makes them. A request that must not be repeated
+is not tried again once an engine may have been reached. Retries of live requests come from the
+row's budget; those of samples go on until their deadline.
+"""
 
 from pondtiller.coordination.retries import RetryBudget
 from pondtiller.errors import ErrorKind, Failure, Ran
--- a/src/pondtiller/serve/systems/dispatch.py
+++ b/src/pondtiller/serve/systems/dispatch.py
@@ -1,4 +1,9 @@
-"""Chooses what runs next and where: fair queueing over rows, two choices among engines."""
+"""Chooses what runs next and where: fair queueing over rows, two choices among engines.
+
+Owns `World.prefix_hints`, and makes the rows of `World.attempts`. Relies on the engines that
+`fleet` keeps and on their latest reports, corrected by this daemon's own attempts since then. Does
+not retry: what failed comes back to the queue through `attempts`.
+"""
 
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import Attempt, Engine, Request, RequestState
--- a/src/pondtiller/serve/systems/drain.py
+++ b/src/pondtiller/serve/systems/drain.py
@@ -1,4 +1,8 @@
-"""Planned stop: announce it, take nothing new, finish what is in progress, then end."""
+"""Planned stop: announce it, take nothing new, finish what is in progress, then end.
+
+Also waits, for a bounded time, until the member's registers have other replicas. Owns
+`World.draining` and `World.drained`. New requests are refused by `admission`.
+"""
 
 from pondtiller.serve.core.events import DrainRequested
 from pondtiller.serve.core.instructions import Drained
--- a/src/pondtiller/serve/systems/engine_choice.py
+++ b/src/pondtiller/serve/systems/engine_choice.py
@@ -1,4 +1,8 @@
-"""Which of the engines with room gets a request: the cheaper of two that are drawn."""
+"""Which of the engines with room gets a request: the cheaper of two that are drawn.
+
+Owns no state. Costs are the engine's predicted occupancy, its zone, and whether it lately had a
+prompt that begins in the same way. Which engines are able is decided in `dispatch`.
+"""
 
 from pondtiller.hashing import score
 from pondtiller.serve.core import constants
--- a/src/pondtiller/serve/systems/fleet.py
+++ b/src/pondtiller/serve/systems/fleet.py
@@ -1,4 +1,9 @@
-"""Engines: who exists, who leaves, how loaded each is, and which this daemon uses."""
+"""Engines: which exist, which leave, how loaded each is, and which this daemon uses.
+
+Owns `World.engines` and `World.subset`. The list of machines lags behind, so engines' own reports
+and peers' marks count as well; a mark that an engine leaves holds for its generation. Which engine
+gets a request is chosen in `dispatch`.
+"""
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
--- a/src/pondtiller/serve/systems/lifecycle.py
+++ b/src/pondtiller/serve/systems/lifecycle.py
@@ -1,4 +1,8 @@
-"""Steps in the life of a request that several systems take: queue, complete, fail."""
+"""Changes in a request's life that several systems make: queue, complete, fail.
+
+The only place where a request ends, so that counts, claims, timers and places are freed once and an
+error never says `not run` of a request that may have run. Owns no state of its own.
+"""
 
 from pondtiller import wire
 from pondtiller.coordination.registers.proposer import RegisterOutcome
--- a/src/pondtiller/serve/systems/limits.py
+++ b/src/pondtiller/serve/systems/limits.py
@@ -1,4 +1,9 @@
-"""Limits of rows: demands shares for this daemon, and divides the limits that it allocates."""
+"""Limits of rows: asks for shares for this daemon, and divides the limits that it allocates.
+
+Owns `World.shares`, `World.allocators` and the requests that wait for a share. A limit holds
+everywhere together, since the division of a row is one register; where that register cannot be
+written, held shares run out with their leases and nothing new starts.
+"""
 
 from pondtiller import wire
 from pondtiller.coordination.outbound import Outbound
--- a/src/pondtiller/serve/systems/peers.py
+++ b/src/pondtiller/serve/systems/peers.py
@@ -1,4 +1,9 @@
-"""Messages between daemons: opens letters, merges gossip, addresses what is to be sent."""
+"""Messages between daemons: opens letters, merges gossip, addresses what is to be sent.
+
+Runs first and last in each pass. Owns the gossip's facts: versions of models, marks of engines that
+leave, digests of documents; each only rises, so letters may come twice and in any order. Other
+messages go on as typed events; what they mean is decided by the systems that read them.
+"""
 
 from pondtiller import wire
 from pondtiller.coordination.outbound import Outbound
--- a/src/pondtiller/serve/systems/readiness.py
+++ b/src/pondtiller/serve/systems/readiness.py
@@ -1,4 +1,8 @@
-"""Decides when a daemon may serve: not before it knows the newest table."""
+"""Decides when a daemon may serve: not before it knows the newest table.
+
+Owns `World.ready`, which stays once it is set: a daemon that loses the object service or its peers
+later goes on with the table that it has.
+"""
 
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.timers import TimerKind
--- a/src/pondtiller/serve/systems/requests.py
+++ b/src/pondtiller/serve/systems/requests.py
@@ -1,4 +1,8 @@
-"""Ends requests whose deadline has passed or whose caller has left."""
+"""Ends requests whose deadline has passed or whose caller has left.
+
+Owns no state. What an ended request leaves behind (counts, a claim, a place on an engine) is put in
+order by `lifecycle`.
+"""
 
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.serve.core.entities import Request, RequestState
--- a/src/pondtiller/serve/systems/slots.py
+++ b/src/pondtiller/serve/systems/slots.py
@@ -2,6 +2,9 @@
 
 A slot is filled only by its latest try, and only with weights that the bound in force at
 that moment allows.
+
+Owns `World.rollouts` and `World.scoring`, the tries and scores under way by their identifiers. A
+sample that failed is made again for as long as its step is open.
 """
 
 from dataclasses import replace
--- a/src/pondtiller/serve/systems/status.py
+++ b/src/pondtiller/serve/systems/status.py
@@ -1,4 +1,8 @@
-"""Status: each daemon reports to its zone's writer, which writes one object for the zone."""
+"""Status: each daemon reports to its zone's writer, which writes one object for the zone.
+
+Owns `World.reports`, the members' latest reports, in the writer's memory; another writer collects
+them anew. Status is for people: nothing is decided from it.
+"""
 
 import math
 
--- a/src/pondtiller/table/csv_format.py
+++ b/src/pondtiller/table/csv_format.py
@@ -1,4 +1,8 @@
-"""The table as CSV, in and out."""
+"""The table as CSV, in and out.
+
+For spreadsheets and review; the stored form is the sheet's JSON. All problems of a file are
+reported together, each with its line.
+"""
 
 import csv
 import io
--- a/src/pondtiller/table/edits.py
+++ b/src/pondtiller/table/edits.py
@@ -1,4 +1,8 @@
-"""Applies an edit to a sheet: rebased where other cells moved, refused where the same did."""
+"""Applies an edit to a sheet: rebased where other cells moved, refused where the same did.
+
+Pure. An edit that the sheet already holds changes nothing, so it may be applied again after a lost
+answer. Reading and writing the sheet is `table.editor`'s.
+"""
 
 from result import Err, Ok, Result
 
--- a/src/pondtiller/table/sheet.py
+++ b/src/pondtiller/table/sheet.py
@@ -1,4 +1,8 @@
-"""The table as a value: rows of cells, checked on entry."""
+"""The table as a value: rows of cells, checked on entry.
+
+Owns the forms of rows, of edits and of the stored JSON. A sheet is never changed: an edit gives a
+new one. What cells mean for requests is in `routes.sheet_rows` and in `serve.systems`.
+"""
 
 from collections.abc import Iterator
 from enum import StrEnum
