--- a/src/pondtiller/gateway/pages/figures.py
+++ b/src/pondtiller/gateway/pages/figures.py
@@ -1,6 +1,6 @@
 """What a gateway's pages show, as values: the pages know nothing of the process.
 
-Made anew for each page by `figure_sources`.
+Made for each page by `figure_sources`.
 """
 
 from typing import NamedTuple
--- a/src/pondtiller/serve/core/constants.py
+++ b/src/pondtiller/serve/core/constants.py
@@ -26,11 +26,11 @@
 """Of a live request, at engines. Chosen, not measured: the retry budget of its row bounds attempts
 long before."""
 ATTEMPT_SILENCE_SECONDS = 10.0
-"""An engine that sends nothing for so long has lost the attempt. Chosen: engines send a sign of
-life at least every 3 s also while a request waits there."""
+"""Time without anything from an engine after which it has lost the attempt. Chosen: engines send a
+sign of life at least every 3 s also while a request waits there."""
 ADMISSION_WAIT_SECONDS = 1.5
-"""A live request waits at most so long for a place in its limited rows, then it is refused as not
-run. Chosen, not measured: one round of the allocator is 0.25 s to 1 s."""
+"""Longest wait of a live request for a place in its limited rows; then it is refused as not run.
+Chosen, not measured: one round of the allocator is 0.25 s to 1 s."""
 
 CLAIM_PREFIX = "once/"
 """Registers of claims: row, caller and key follow."""
@@ -65,11 +65,11 @@
 STEWARD_TIMEOUT_SECONDS = 3.0
 """Of taking a fence. Chosen, not measured."""
 ORDER_TIMEOUT_SECONDS = 30.0
-"""An order to an engine that is not answered for so long is given again, under the same fence.
+"""Time after which an unanswered order to an engine is given again, under the same fence.
 Chosen, not measured: above a transfer and a swap of weights (1 s and 0.3 s in the shipped
 deployments) with the wait for a lane of the weight store."""
 SWAP_WAVES = 2
-"""Engines change to a new version in so many groups, so that the others of a model serve meanwhile.
+"""Groups in which engines change to a new version, so that a model's other engines serve meanwhile.
 Chosen: two keep half of them; at 160 engines the last one had the version after 4.5 s
 (simulated)."""
 WAVE_SECONDS = 1.0
@@ -84,7 +84,7 @@
 IDLE_POLL_SECONDS = 3.0
 """The same while there is none. Chosen, not measured."""
 ENGINE_DOWN_AFTER_FAILED_POLLS = 3
-"""So many polls without an answer in a row, and an engine gets no new work until one is answered.
+"""Polls without an answer in a row after which an engine gets no new work until one is answered.
 Chosen, not measured: one lost answer costs nothing."""
 PREFIX_HINT_SECONDS = 60.0
 """Age at which a prompt's last engine counts for nothing. Chosen, not measured: an engine's cache
@@ -105,7 +105,7 @@
 STORE_RETRY_SECONDS = 1.0
 """Pause before the object service is asked again after a failure. Chosen, not measured."""
 FIRST_CONTACT_SECONDS = 3.0
-"""A daemon that starts waits so long for its peers before it believes the object service alone.
+"""How long a daemon that starts waits for its peers before it relies on the object service alone.
 Chosen: three probes of membership."""
 STATUS_SECONDS = 5.0
 """How often a daemon reports to its zone's status writer. At 340 daemons and 40 rows the writer
@@ -120,7 +120,7 @@
 SAMPLES_A_READ = 256
 """Samples in one answer. Chosen, not measured."""
 SCORE_TIMEOUT_SECONDS = 10.0
-"""A scorer that does not answer for so long is asked again. Chosen, not measured."""
+"""Time after which a scorer that does not answer is asked again. Chosen, not measured."""
 OPEN_STEPS_A_TRAINER = 4
 """Steps of one trainer that may be open at a home; another is refused. Chosen, not measured: it
 bounds memory."""
--- a/src/pondtiller/serve/emulator/engine.py
+++ b/src/pondtiller/serve/emulator/engine.py
@@ -20,7 +20,7 @@
 from pondtiller.serve.emulator.weights import WeightStore
 
 KEEP_ALIVE_SECONDS = 3.0
-"""A request that waits or reads sends an empty piece so often. Modelled."""
+"""Time since the last piece of an answer after which an empty one is sent. Modelled."""
 QUEUE_FACTOR = 2
 """Requests that may wait, by places; more are refused. Modelled."""
 
--- a/src/pondtiller/serve/simulation/callers.py
+++ b/src/pondtiller/serve/simulation/callers.py
@@ -27,7 +27,7 @@
 CONNECT_FAILURE_SECONDS = 0.05
 """After which a refused connection is known. Modelled."""
 GIVE_UP_SECONDS = 45.0
-"""A caller leaves after so long. Modelled: above the default deadline."""
+"""Time after which a caller leaves. Modelled: above the default deadline."""
 BURST_PERIOD_SECONDS = 60.0
 """From one burst to the next. Modelled."""
 BURST_SHARE = 0.25
--- a/src/pondtiller/serve/simulation/checks.py
+++ b/src/pondtiller/serve/simulation/checks.py
@@ -15,10 +15,11 @@
 from pondtiller.serve.simulation.truth import AcceptedEdit, TokenRun, Truth
 
 LEAVING_SECONDS = 5.0
-"""An engine that leaves may get new work for so long after it can be known. Bound of the
-property."""
+"""Time for which a leaving engine may get new work, from when daemons can know that it leaves.
+Bound of the property."""
 IN_FORCE_SECONDS = 8.0
-"""An accepted edit is in force within so long after it can be known. Bound of the property."""
+"""Time until an accepted edit is in force, from when daemons can know of it. Bound of the
+property."""
 
 
 class Property(StrEnum):
--- a/src/pondtiller/serve/simulation/cluster.py
+++ b/src/pondtiller/serve/simulation/cluster.py
@@ -37,7 +37,7 @@
 FLEET_LAG_SECONDS = 2.0
 """By which the platform's list of engines is late. Modelled."""
 START_SPREAD_SECONDS = 1.0
-"""Daemons start within so long. Modelled."""
+"""Time over which the starts of daemons are spread. Modelled."""
 SAMPLE_SECONDS = 0.25
 """How often requests in progress are counted, for the check of limits. Chosen, not measured."""
 
--- a/src/pondtiller/serve/simulation/operators.py
+++ b/src/pondtiller/serve/simulation/operators.py
@@ -22,7 +22,7 @@
 RETRY_SECONDS = 1.0
 """Pause of an editor whose write failed. Modelled."""
 HIGHEST_PRIORITY = 9
-"""Of the table; edits count up to it and begin anew."""
+"""Of the table; edits raise a priority up to it and no further."""
 
 
 @dataclass(slots=True)
--- a/src/pondtiller/serve/simulation/scenarios.py
+++ b/src/pondtiller/serve/simulation/scenarios.py
@@ -27,7 +27,7 @@
 FIRST_FAULT_SECONDS = 20.0
 """Before it all daemons serve. Chosen, not measured."""
 QUIET_END_SECONDS = 60.0
-"""No fault begins so close to the end of the load. Chosen, not measured."""
+"""Last part of the load, in which no fault begins. Chosen, not measured."""
 EDIT_PERIOD_SECONDS = 30.0
 """Between two edits of the table. Modelled."""
 
--- a/src/pondtiller/serve/systems/drain.py
+++ b/src/pondtiller/serve/systems/drain.py
@@ -13,8 +13,8 @@
 CHECK_SECONDS = 0.2
 """How often a draining daemon looks whether its work has ended. Chosen, not measured."""
 ANNOUNCE_SECONDS = 1.0
-"""Before work is handed over: so long the news of leaving travels. Chosen: one probe of
-membership."""
+"""Pause before work is handed over, in which other members learn that this one leaves. Chosen: one
+probe of membership."""
 HAND_OVER_SECONDS = 20.0
 """Longest wait for the replicas of its registers to be replaced; then the daemon ends, and they are
 replaced as after a loss. Chosen, not measured."""
--- a/src/pondtiller/serve/systems/limits.py
+++ b/src/pondtiller/serve/systems/limits.py
@@ -28,11 +28,11 @@
 """Places asked for beyond what is used and waits, so that a first request finds one. Chosen, not
 measured."""
 FIRST_ROUND_SECONDS = 0.005
-"""An allocator waits so long for further demands that come together. Chosen, not measured: below
-one trip between zones and back."""
+"""How long an allocator collects further demands before it divides. Chosen, not measured: below one
+round trip between zones."""
 ASK_AGAIN_SECONDS = 0.1
-"""A demand that is not answered for so long is sent again, above 40 members in proportion later.
-Chosen, not measured."""
+"""Age at which an unanswered demand is sent again; above 40 members it grows in proportion. Chosen,
+not measured."""
 PAUSE_SECONDS = 0.25
 """Shortest pause between two divisions of a row, above 40 members in proportion longer: 340 holders
 that ask each second would cost 15% of a core a row, with the stretched pace it is 1.9%."""
--- a/src/pondtiller/serve/systems/peers.py
+++ b/src/pondtiller/serve/systems/peers.py
@@ -96,7 +96,7 @@
 
 
 def note_leaving(world: World, engine: str, generation: int) -> None:
-    """Learn that an engine leaves; news are passed on at once."""
+    """Learn that an engine leaves; a new mark is passed on at once."""
     if not world.mechanisms.leaving_marks:
         return
     known = world.engines.get(engine)
--- a/src/pondtiller/serve/systems/replica_repair.py
+++ b/src/pondtiller/serve/systems/replica_repair.py
@@ -27,8 +27,9 @@
 from pondtiller.serve.systems.shard_documents import spread_configuration
 
 ABANDONED_SEAL_SECONDS = 3.0
-"""A shard that stays sealed for so long was left by who sealed it, and another one finishes.
-Chosen, not measured: above the time of a replacement, so that two do not race."""
+"""Time after which a sealed shard counts as left by the member that sealed it, and another member
+finishes the replacement. Chosen, not measured: above the time of a replacement, so that two do not
+race."""
 SUCCESSOR_TIMEOUT_SECONDS = 5.0
 """Of the agreement on a successor configuration. Chosen, not measured."""
 
--- a/src/pondtiller/serve/systems/status.py
+++ b/src/pondtiller/serve/systems/status.py
@@ -1,7 +1,7 @@
 """Status: each daemon reports to its zone's writer, which writes one object for the zone.
 
 Owns `World.reports`, the members' latest reports, in the writer's memory; another writer collects
-them anew. Status is for people: nothing is decided from it.
+them again. Status is for people: nothing is decided from it.
 """
 
 import math
@@ -22,7 +22,8 @@
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 FORGET_SECONDS = 60.0
-"""A daemon that has not reported for so long leaves the zone's status. Chosen: twelve reports."""
+"""Age of the latest report at which a daemon is left out of the zone's status. Chosen: twelve
+reports."""
 
 
 class DaemonStatus(BaseModel):
--- a/src/pondtiller/serve/systems/steps.py
+++ b/src/pondtiller/serve/systems/steps.py
@@ -27,7 +27,7 @@
 from pondtiller.serve.systems.trainer_answers import fail, other_home, refuse_unknown
 
 IDLE_STEP_SECONDS = 60.0
-"""A step that nobody reads for so long is closed; a trainer's next call opens it again at its
+"""Time without a read after which a step is closed; its trainer's next call opens it again at its
 cursor. Chosen, not measured: twice the longest wait of a read."""
 
 
--- a/src/pondtiller/serve/systems/store.py
+++ b/src/pondtiller/serve/systems/store.py
@@ -53,7 +53,7 @@
 
 
 def refresh(world: World) -> None:
-    """Ask for a fresh list at the next occasion."""
+    """Ask for a fresh list with the next call."""
     world.store.outdated = True
     world.set_timer(TimerKind.STORE, world.store.answered_at or 0.0)
 
--- a/src/pondtiller/store/evacuation_watch.py
+++ b/src/pondtiller/store/evacuation_watch.py
@@ -3,7 +3,7 @@
 An object stands for each evacuated zone, and its end takes the evacuation back. What was known
 stays in force while nothing is heard. Until the first listing nothing may reach any engine.
 
-Owns the zones in force with the revisions of their objects, in memory: a start lists them anew.
+Owns the zones in force with the revisions of their objects, in memory: a start lists them again.
 Relies on `MirroredStore`. Holds no request back itself: `routes.send_gate` does.
 """
 
--- a/src/pondtiller/store/store_watch.py
+++ b/src/pondtiller/store/store_watch.py
@@ -1,6 +1,6 @@
 """Watches on the platform's store: a kind listed once, then followed by its changes.
 
-A `Watch` owns the revision up to which it has passed on everything, and begins anew with a listing
+A `Watch` owns the revision up to which it has passed on everything, and begins again with a listing
 after a start or where the history is gone. Relies on a `StoreReader`: the store's client, a mirror
 or the leader's way. It keeps no objects and reads none.
 """
@@ -26,7 +26,7 @@
 WATCH_SECONDS = 6.0
 """How long one call waits for changes. Each call has a price: with 3 s, the watches were most of
 623 calls of a quiet day. Longer waits leave a process longer on a store that is silently away; once
-it answers any watch of the process again, all others ask anew."""
+it answers any watch of the process again, all others ask again."""
 SHORTEST_FIRST_WATCH_SECONDS = 1.0
 """First waits are drawn between this and the full wait, so that the watches of a process end at
 different times; also the wait of the first call after a failure. Chosen, not measured."""
@@ -55,7 +55,7 @@
     """Whether the store answers, as all watches of a process see it together.
 
     A watch that waits cannot tell a quiet store from one that is gone. Once the store answers
-    again after a failure, all waiting watches ask anew, so each is right within moments while
+    again after a failure, all waiting watches ask again, so each is right within moments while
     a quiet one may wait long.
     """
 
@@ -81,7 +81,7 @@
         """Take that the store, or a mirror, has forgotten a history that was asked for.
 
         A call that reached the store in the moment of forgetting gets no answer: it hears nothing
-        for its whole wait, 6 s at the longest. So all waiting watches ask anew.
+        for its whole wait, 6 s at the longest. So all waiting watches ask again.
         """
         await self._wake_all()
 
--- a/src/pondtiller/table/editor.py
+++ b/src/pondtiller/table/editor.py
@@ -14,7 +14,7 @@
 
 MAXIMUM_ROUNDS = 20
 """Reads and writes of one edit; then it ends as not made, or as unknown where a write's answer was
-lost. Chosen, not measured: an edit loses a round only to an edit of somebody else."""
+lost. Chosen, not measured: an edit loses a round only to another operator's edit."""
 
 
 @dataclass(frozen=True, slots=True)
