--- a/src/pondtiller/serve/core/instructions.py
+++ b/src/pondtiller/serve/core/instructions.py
@@ -1,11 +1,15 @@
-"""Everything that a daemon can ask its driver to do, as typed instructions."""
+"""Everything that a daemon can ask its driver to do, as typed instructions.
+
+A system appends them to `World.outbox`; the driver carries them out in their order after the tick
+and brings answers back as events. A new one goes into `Instruction` and into both drivers.
+"""
 
 from dataclasses import dataclass
 
 from pondtiller.address import Address
 from pondtiller.coordination.registers.acceptor import JournalEntry
 from pondtiller.errors import Failure
-from pondtiller.serve.core.entities import Sample, StepKey
+from pondtiller.serve.core.step_entities import Sample, StepKey
 from pondtiller.serve.core.tokens import Segment
 from pondtiller.wire.envelope import Letter
 
--- a/src/pondtiller/serve/daemon/engine_client.py
+++ b/src/pondtiller/serve/daemon/engine_client.py
@@ -1,8 +1,12 @@
-"""Talks to engines: streams answers, polls load, gives orders."""
+"""Calls to engines: streams of answers, polls of load, orders.
+
+Posts what engines send as events, and for an attempt that failed whether it may have run: only a
+request that was never sent, or an engine's own refusal, proves that it did not. Owns no state
+but the HTTP client's connections. Retries nothing; `systems.attempts` does.
+"""
 
 import json
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
@@ -14,6 +18,7 @@
     ChunkArrived,
     EnginePollFailed,
     EngineReported,
+    Event,
     OrderAnswered,
     OrderResult,
     VersionReport,
@@ -27,7 +32,7 @@
 """Status of an engine that refuses what it has not begun."""
 DATA_PREFIX = b"data: "
 
-Post = Callable[[object], Awaitable[None]]
+Post = Callable[[Event], Awaitable[None]]
 
 
 class ChunkBody(BaseModel):
@@ -143,7 +148,7 @@
 
 def _request_body(start: StartAttempt) -> bytes:
     request = start.request
-    body: dict[str, Any] = {
+    body = {
         "request_id": request.request_id,
         "model": request.model,
         "prompt": request.prompt,
@@ -159,7 +164,7 @@
 
 def _order_body(order: OrderEngine) -> bytes:
     given = order.order
-    body: dict[str, Any] = {
+    body = {
         "order_id": given.order_id,
         "fence": given.fence,
         "kind": given.kind,
--- a/src/pondtiller/serve/daemon/platform_client.py
+++ b/src/pondtiller/serve/daemon/platform_client.py
@@ -1,4 +1,9 @@
-"""Talks to the platform: object service and scorer."""
+"""Calls to the platform: its object service and the scorer.
+
+Each call posts one event, also when it fails: what to do then is decided by the systems. A write
+without an answer is reported as unknown, since it may have taken effect. Owns no state. `serve`
+reads the platform here; gateways and replicas do so in `platform`.
+"""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -10,6 +15,7 @@
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
 from pondtiller.serve.core.constants import WATCH_SECONDS
 from pondtiller.serve.core.events import (
+    Event,
     ScoreArrived,
     StoredObject,
     StoreFailed,
@@ -29,7 +35,7 @@
 """Another write came first."""
 OK_STATUSES = (200, 201)
 
-Post = Callable[[object], Awaitable[None]]
+Post = Callable[[Event], Awaitable[None]]
 
 
 class Metadata(BaseModel):
--- a/src/pondtiller/serve/daemon/process.py
+++ b/src/pondtiller/serve/daemon/process.py
@@ -1,7 +1,11 @@
-"""One daemon: binds its sockets, builds the world and serves until it is drained."""
+"""One daemon: binds its sockets, builds the world and serves until it is drained.
+
+Owns the sockets, the journal and the HTTP routes. The number under which its registers are known
+comes from the journal where there is a data folder; without one, each start is a new member with
+empty registers.
+"""
 
 import random
-from typing import Any
 
 import curio
 
@@ -12,8 +16,10 @@
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import Exchange, bind_tcp, failure_response, serve_http
 from pondtiller.process import clock, logs
+from pondtiller.process.curio_types import Task
 from pondtiller.serve.core.events import DrainRequested
-from pondtiller.serve.core.world import World, WorldSettings
+from pondtiller.serve.core.world import World
+from pondtiller.serve.core.world_settings import WorldSettings
 from pondtiller.serve.daemon import metrics
 from pondtiller.serve.daemon.caller_api import CallerApi
 from pondtiller.serve.daemon.engine_client import EngineClient
@@ -69,7 +75,7 @@
         self._connect_clients()
         self._callers = CallerApi(self.runtime)
         self._trainers = TrainerApi(self.runtime)
-        self._tasks: list[Any] = []
+        self._tasks: list[Task] = []
 
     def _build_world(self, incarnation: int) -> World:
         settings = self.settings
--- a/src/pondtiller/serve/daemon/runtime.py
+++ b/src/pondtiller/serve/daemon/runtime.py
@@ -1,12 +1,16 @@
-"""Runs the pure systems: one task ticks the world and carries out its instructions."""
+"""Runs the systems on real time: one task ticks the world and carries out its instructions.
 
-from typing import Any
+Owns the queues of those who wait for an answer and the tasks of attempts; both end with the
+process. A journal entry is written before the instructions that follow it, so a promise is on disk
+before its reply leaves. Decides nothing: `systems.tick` does.
+"""
 
 import curio
 
 from pondtiller.process import clock, logs
+from pondtiller.process.curio_types import Queue, Task
 from pondtiller.process.spawner import Spawner
-from pondtiller.serve.core.events import LetterArrived
+from pondtiller.serve.core.events import Event, LetterArrived
 from pondtiller.serve.core.instructions import (
     AnswerSamples,
     AnswerTrainer,
@@ -65,24 +69,24 @@
 
     def __init__(self, world: World, peers: PeerTransport, journal: Journal | None) -> None:
         self.world = world
-        self.answers: dict[str, Any] = {}
+        self.answers: dict[str, Queue[Answer]] = {}
         self.drained = curio.Event()
         self.busy_seconds = 0.0
         self.ticks = 0
         self._peers = peers
         self._journal = journal
         self._arrived = curio.Event()
-        self._attempts: dict[str, Any] = {}
+        self._attempts: dict[str, Task] = {}
         self._engines: EngineClient | None = None
         self._platform: PlatformClient | None = None
-        self._group: Any = None
+        self._group = Spawner()
 
     def connect(self, engines: EngineClient, platform: PlatformClient) -> None:
         """Set the clients that carry out calls; they post back into this runtime."""
         self._engines = engines
         self._platform = platform
 
-    async def post(self, event: object) -> None:
+    async def post(self, event: Event) -> None:
         """Hand an event to the world; the loop ticks soon after."""
         self.world.inbox.append(event)
         await self._arrived.set()
@@ -93,8 +97,7 @@
 
     async def run(self) -> None:
         """Tick when something arrived or is due, until cancelled."""
-        async with Spawner() as group:
-            self._group = group
+        async with self._group:
             while True:
                 await self._tick()
                 await self._sleep()
@@ -173,9 +176,9 @@
         if queue is not None:
             await queue.put(answer)
 
-    def expect(self, identifier: str) -> Any:
+    def expect(self, identifier: str) -> Queue[Answer]:
         """Return the queue on which the answers to a request or call will come."""
-        queue = curio.Queue()
+        queue: Queue[Answer] = curio.Queue()
         self.answers[identifier] = queue
         return queue
 
--- a/src/pondtiller/serve/daemon/trainer_api.py
+++ b/src/pondtiller/serve/daemon/trainer_api.py
@@ -1,7 +1,12 @@
-"""The trainers' interface: open a step, read samples by cursor, acknowledge, publish."""
+"""The trainers' interface: open a step, read samples by cursor, acknowledge, publish.
+
+Turns each call into an event, waits for its one answer and writes it as JSON. Owns no state: steps
+are in the world, and a call whose answer was lost may be repeated. A call for a step that another
+daemon makes is answered by a redirect.
+"""
 
 import re
-from typing import Annotated, Any
+from typing import Annotated
 from urllib.parse import quote
 
 import curio
@@ -10,11 +15,11 @@
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.httpio.messages import HttpResponse, json_response
 from pondtiller.httpio.server import Exchange, failure_response
-from pondtiller.serve.core.entities import Sample, StepKey
 from pondtiller.serve.core.events import (
     SamplesAcknowledged,
     SamplesRead,
     StepOpened,
+    TrainerCalled,
     TrainerLeft,
     VersionPublished,
 )
@@ -24,7 +29,9 @@
     FailTrainer,
     RedirectTrainer,
 )
-from pondtiller.serve.daemon.runtime import Runtime
+from pondtiller.serve.core.sample_bodies import SampleBody, segment_bodies
+from pondtiller.serve.core.step_entities import Sample, StepKey
+from pondtiller.serve.daemon.runtime import Answer, Runtime
 from pondtiller.table.sheet import explain
 
 ANSWER_SECONDS = 45.0
@@ -104,7 +111,7 @@
             return
         await exchange.respond(await self._call(exchange, call_id, event))
 
-    def _event(self, call_id: str, exchange: Exchange) -> object | None:
+    def _event(self, call_id: str, exchange: Exchange) -> TrainerCalled | None:
         request = exchange.request
         forwarded = FORWARDED in request.query
         path, is_post = request.path, request.method == "POST"
@@ -127,7 +134,7 @@
             return SamplesRead(call_id, key, query.cursor, query.wait_seconds, forwarded)
         return None
 
-    async def _call(self, exchange: Exchange, call_id: str, event: object) -> HttpResponse:
+    async def _call(self, exchange: Exchange, call_id: str, event: TrainerCalled) -> HttpResponse:
         queue = self._runtime.expect(call_id)
         try:
             await self._runtime.post(event)
@@ -143,7 +150,7 @@
         return _response(exchange, answer)
 
 
-def _response(exchange: Exchange, answer: Any) -> HttpResponse:
+def _response(exchange: Exchange, answer: Answer) -> HttpResponse:
     match answer:
         case AnswerSamples():
             body = {
@@ -169,7 +176,7 @@
     return json_response(307, {"location": location}, (("Location", location),))
 
 
-def _sample(sample: Sample) -> dict[str, Any]:
+def _sample(sample: Sample) -> SampleBody:
     return {
         "slot": sample.slot,
         "sample_id": sample.sample_id,
@@ -178,12 +185,5 @@
         "tokens": sample.token_count,
         "finish_reason": sample.finish_reason,
         "score": sample.score,
-        "segments": [
-            {
-                "version": segment.version,
-                "first_token": segment.first_token,
-                "last_token": segment.last_token,
-            }
-            for segment in sample.segments
-        ],
+        "segments": segment_bodies(sample.segments),
     }
--- a/src/pondtiller/serve/simulation/cluster.py
+++ b/src/pondtiller/serve/simulation/cluster.py
@@ -1,4 +1,8 @@
-"""Builds a deployment on the virtual clock and wires its parts together."""
+"""Builds a deployment on the virtual clock and wires its parts together.
+
+Owns the seeded source, from which each part gets one of its own in a fixed order, and the record of
+what happened. Changes by itself nothing while it runs: faults do.
+"""
 
 import json
 import random
@@ -19,12 +23,13 @@
 from pondtiller.serve.emulator.weights import WeightStore
 from pondtiller.serve.simulation.callers import Callers
 from pondtiller.serve.simulation.cluster_settings import ClusterSettings
-from pondtiller.serve.simulation.daemon import DaemonNode, Surroundings
+from pondtiller.serve.simulation.daemon import DaemonNode
 from pondtiller.serve.simulation.engines import EngineNode
 from pondtiller.serve.simulation.network import Network
 from pondtiller.serve.simulation.operators import Operators
 from pondtiller.serve.simulation.platform import PlatformNode
 from pondtiller.serve.simulation.scheduler import Scheduler
+from pondtiller.serve.simulation.shared_parts import SharedParts
 from pondtiller.serve.simulation.trainers import TrainerNode
 from pondtiller.serve.simulation.truth import AcceptedEdit, InProgress, LeavingEngine, Truth
 from pondtiller.table.sheet import DOCUMENT_NAME, RowKind, Sheet
@@ -32,13 +37,19 @@
 FLEET_LAG_SECONDS = 2.0
 """By which the platform's list of engines is late. Modelled."""
 START_SPREAD_SECONDS = 1.0
-"""Daemons start within so long. Modelled."""
+"""Time over which the starts of daemons are spread. Modelled."""
 SAMPLE_SECONDS = 0.25
 """How often requests in progress are counted, for the check of limits. Chosen, not measured."""
 
 
 class Cluster:
-    """A deployment in simulation; `faults` change it while it runs."""
+    """A deployment in simulation; `faults` change it while it runs.
+
+    Attributes
+    ----------
+    daemons
+        All daemons by name, dead ones too.
+    """
 
     def __init__(self, deployment: Deployment, settings: ClusterSettings) -> None:
         self.deployment = deployment
@@ -52,11 +63,13 @@
         self.platform.on_write = self._note_write
         self.weights = WeightStore(deployment.weights.transfer_seconds, deployment.weights.lanes)
         self.engines = self._build_engines()
-        self.around = Surroundings(
+        self.daemons: dict[str, DaemonNode] = {}
+        self.shared = SharedParts(
             self.scheduler,
             self.network,
             self.platform,
             self.engines,
+            self.daemons,
             on_table=self._note_in_force,
             count_bytes=settings.count_bytes,
             processor_clock=settings.processor_clock,
@@ -80,11 +93,6 @@
     def _fork(self) -> random.Random:
         return random.Random(self.source.getrandbits(64))
 
-    @property
-    def daemons(self) -> dict[str, DaemonNode]:
-        """All daemons by name, dead ones too."""
-        return self.around.daemons
-
     def entry_daemons(self) -> list[DaemonNode]:
         """Return the daemons that a load balancer in front would offer."""
         offered = [node for node in self.daemons.values() if node.alive and not node.stopping]
@@ -171,7 +179,7 @@
                 member.name,
                 member.zone,
                 seeds,
-                self.around,
+                self.shared,
                 self._fork(),
                 self.settings,
             )
--- a/src/pondtiller/serve/simulation/cluster_settings.py
+++ b/src/pondtiller/serve/simulation/cluster_settings.py
@@ -1,9 +1,12 @@
-"""How a simulated cluster is built."""
+"""How a simulated cluster is built: seed, switches of mechanisms, what is counted.
+
+The deployment itself is given beside it.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pondtiller.serve.core.world import Mechanisms
+from pondtiller.serve.core.world_settings import Mechanisms
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pondtiller/serve/simulation/engines.py
+++ b/src/pondtiller/serve/simulation/engines.py
@@ -1,4 +1,8 @@
-"""Engines of a simulated cluster: the emulator's model on the virtual clock."""
+"""Engines of a simulated cluster: the emulator's model on the virtual clock.
+
+Owns an engine's open streams and whether it is alive. Chunks pass the modelled network and may come
+doubled or overtaken; what the engine really made goes into `Truth`.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,6 +13,7 @@
     ChunkArrived,
     EnginePollFailed,
     EngineReported,
+    Event,
     OrderAnswered,
     OrderResult,
     VersionReport,
@@ -21,15 +26,13 @@
     EngineOutput,
     Submission,
 )
-from pondtiller.serve.simulation.network import Network
+from pondtiller.serve.simulation.network import Deliver, Network
 from pondtiller.serve.simulation.scheduler import Scheduler
 from pondtiller.serve.simulation.truth import EngineStart, OrderSeen, TokenRun, Truth
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 """After which a caller of an engine that cannot be reached knows it. Modelled."""
 
-Deliver = Callable[[object], None]
-
 
 @dataclass(slots=True)
 class _Stream:
@@ -119,7 +122,7 @@
         )
         self._reply(stream, failure)
 
-    def _reply(self, stream: _Stream, event: object) -> None:
+    def _reply(self, stream: _Stream, event: Event) -> None:
         """Send an event back in order; a cut breaks the stream."""
         if self.network.is_cut(self.zone, stream.daemon_zone):
             return
--- a/src/pondtiller/serve/simulation/operators.py
+++ b/src/pondtiller/serve/simulation/operators.py
@@ -1,9 +1,14 @@
-"""Operators of a simulated cluster: they edit the table, sometimes at the same time."""
+"""Operators of a simulated cluster: they edit the table, sometimes at the same time.
+
+Owns the identifiers of edits that were accepted and refused, which the run compares with the table
+at the end. How an edit reaches the object service is decided by `table.editor`.
+"""
 
 import random
 from dataclasses import dataclass, field
 
 from pondtiller.serve.core.events import (
+    Event,
     StoredObject,
     StoreListed,
     StoreWriteEnded,
@@ -17,7 +22,7 @@
 RETRY_SECONDS = 1.0
 """Pause of an editor whose write failed. Modelled."""
 HIGHEST_PRIORITY = 9
-"""Of the table; edits count up to it and begin anew."""
+"""Of the table; edits raise a priority up to it and no further."""
 
 
 @dataclass(slots=True)
@@ -74,7 +79,7 @@
                 lambda event: self._take_write(editor, event),
             )
 
-    def _take_read(self, editor: TableEditor, event: object) -> None:
+    def _take_read(self, editor: TableEditor, event: Event) -> None:
         if not isinstance(event, StoreListed):
             editor.note_lost()
             self.scheduler.after(RETRY_SECONDS, lambda: self._continue(editor))
@@ -84,7 +89,7 @@
         editor.note_read(read.revision, read.body)
         self._continue(editor)
 
-    def _take_write(self, editor: TableEditor, event: object) -> None:
+    def _take_write(self, editor: TableEditor, event: Event) -> None:
         assert isinstance(event, StoreWriteEnded)
         if event.result == StoreWriteResult.WRITTEN:
             editor.note_written(event.revision)
--- a/src/pondtiller/serve/simulation/platform.py
+++ b/src/pondtiller/serve/simulation/platform.py
@@ -1,4 +1,8 @@
-"""The simulated platform: object service with outages and lost answers, and the scorer."""
+"""The simulated platform: object service with outages, lost answers and old reads.
+
+Owns the earlier states that an old read may show; objects are in the emulator's `ObjectStore`. The
+scorer is simulated in `instruction_driver`.
+"""
 
 import random
 from collections.abc import Callable
@@ -13,6 +17,7 @@
     StoreWriteResult,
 )
 from pondtiller.serve.emulator.object_store import Listing, ObjectStore, PutStatus
+from pondtiller.serve.simulation.network import Deliver
 from pondtiller.serve.simulation.scheduler import Scheduler
 
 ANSWER_SECONDS = 0.005
@@ -26,8 +31,6 @@
 KEPT_OLD_READS = 20
 """Earlier states of which one may be read in place of the last. Modelled: reads may be old."""
 
-Deliver = Callable[[object], None]
-
 
 @dataclass(slots=True)
 class PlatformNode:
--- a/src/pondtiller/serve/simulation/run.py
+++ b/src/pondtiller/serve/simulation/run.py
@@ -1,10 +1,13 @@
-"""Runs one scenario with one seed and returns its measures and violations."""
+"""Runs one scenario with one seed and returns its measures and violations.
+
+The report holds nothing of the machine that ran it, so a seed gives the same bytes everywhere.
+"""
 
 import random
 
 from pydantic import BaseModel, ConfigDict
 
-from pondtiller.serve.core.world import Mechanisms
+from pondtiller.serve.core.world_settings import Mechanisms
 from pondtiller.serve.deployment import Deployment
 from pondtiller.serve.simulation.checks import CheckSettings, Property, Violation, check_all
 from pondtiller.serve.simulation.cluster import Cluster
@@ -125,7 +128,7 @@
 
 
 def check_edits(cluster: Cluster) -> list[Violation]:
-    """Return edits whose outcome, as operators were told it, is not true."""
+    """Return edits whose outcome, as reported to their operators, is not true."""
     body = cluster.platform.store.objects[DOCUMENT_NAME].body
     sheet = Sheet.model_validate_json(body)
     violations: list[Violation] = []
--- a/src/pondtiller/serve/simulation/scenarios.py
+++ b/src/pondtiller/serve/simulation/scenarios.py
@@ -1,4 +1,8 @@
-"""Named scenarios: fault schedules drawn from the seed."""
+"""Named scenarios: fault schedules drawn from the seed.
+
+Each is a function of the deployment, the length of the load and a seeded source; the order of its
+draws is part of a seed's meaning. What a fault does is in `faults`.
+"""
 
 import random
 from collections.abc import Callable
@@ -23,7 +27,7 @@
 FIRST_FAULT_SECONDS = 20.0
 """Before it all daemons serve. Chosen, not measured."""
 QUIET_END_SECONDS = 60.0
-"""No fault begins so close to the end of the load. Chosen, not measured."""
+"""Last part of the load, in which no fault begins. Chosen, not measured."""
 EDIT_PERIOD_SECONDS = 30.0
 """Between two edits of the table. Modelled."""
 
--- a/src/pondtiller/serve/simulation/trainers.py
+++ b/src/pondtiller/serve/simulation/trainers.py
@@ -1,15 +1,19 @@
-"""Trainers of a simulated cluster: the emulator's model, calling daemons."""
+"""Trainers of a simulated cluster: the emulator's model, calling daemons.
+
+Owns the one call under way and the daemon that it talks to; an answer may be lost, and the call is
+made again. The cursor is the model's.
+"""
 
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from pondtiller.errors import ErrorKind
-from pondtiller.serve.core.entities import StepKey
 from pondtiller.serve.core.events import (
     SamplesAcknowledged,
     SamplesRead,
     StepOpened,
+    TrainerCalled,
     TrainerLeft,
     VersionPublished,
 )
@@ -19,6 +23,7 @@
     FailTrainer,
     RedirectTrainer,
 )
+from pondtiller.serve.core.step_entities import StepKey
 from pondtiller.serve.emulator.trainer import (
     Acknowledge,
     OpenStep,
@@ -93,7 +98,7 @@
         node.call(call_id, event, lambda answer: self._answer(call_id, answer))
         self._scheduler.after(TIMEOUT_SECONDS, lambda: self._lost(call_id))
 
-    def _event(self, call_id: str, call: TrainerCall, forwarded: bool) -> object:
+    def _event(self, call_id: str, call: TrainerCall, forwarded: bool) -> TrainerCalled:
         name = self.model.settings.name
         match call:
             case OpenStep():
--- a/src/pondtiller/serve/systems/admission.py
+++ b/src/pondtiller/serve/systems/admission.py
@@ -1,11 +1,17 @@
-"""Admits requests: row, readiness, queue bound and the row's share of its limit."""
+"""Admits requests: row, readiness, queue bound and the row's share of its limit.
+
+What cannot be served is refused at once, as not run; what waits for a share waits for a bounded
+time. Makes the rows of `World.requests`. Samples of steps are not refused here: they wait, and
+`steps` bounds how many there are.
+"""
 
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import Request, RequestSpec, RequestState
 from pondtiller.serve.core.events import ClaimNeeded, RequestArrived, RolloutStarted, ShareObtained
 from pondtiller.serve.core.instructions import FailAnswer
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle, limits
 from pondtiller.table.sheet import Row, RowKind
 
--- a/src/pondtiller/serve/systems/attempts.py
+++ b/src/pondtiller/serve/systems/attempts.py
@@ -1,4 +1,9 @@
-"""Attempts on engines: takes chunks in order, checks versions, retries what failed."""
+"""Attempts on engines: takes chunks in order, checks versions, retries what failed.
+
+Reads and ends rows of `World.attempts`; `dispatch` makes them. A request that must not be repeated
+is not tried again once an engine may have been reached. Retries of live requests come from the
+row's budget; those of samples go on until their deadline.
+"""
 
 from pondtiller.coordination.retries import RetryBudget
 from pondtiller.errors import ErrorKind, Failure, Ran
@@ -7,8 +12,9 @@
 from pondtiller.serve.core.entities import Attempt, Request
 from pondtiller.serve.core.events import AttemptFailed, ChunkArrived
 from pondtiller.serve.core.instructions import SendText
+from pondtiller.serve.core.timers import TimerKind
 from pondtiller.serve.core.tokens import Chunk, extend_segments
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle
 from pondtiller.serve.systems.peers import note_leaving
 
--- a/src/pondtiller/serve/systems/claims.py
+++ b/src/pondtiller/serve/systems/claims.py
@@ -1,7 +1,7 @@
 """Requests that must not be repeated: claimed in a register before the first byte leaves.
 
 A later request with the same key finds the claim and gets the stored answer, waits for
-the one that runs, or is told that the outcome is unknown. It never runs a second time.
+the one that runs, or an error which says that the outcome is unknown. It never runs a second time.
 """
 
 from pondtiller import wire
@@ -11,7 +11,8 @@
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import Request, RequestState
 from pondtiller.serve.core.events import ClaimNeeded
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle
 from pondtiller.serve.systems.registers import change_register, is_available
 
--- a/src/pondtiller/serve/systems/dispatch.py
+++ b/src/pondtiller/serve/systems/dispatch.py
@@ -1,10 +1,17 @@
-"""Chooses what runs next and where: fair queueing over rows, two choices among engines."""
+"""Chooses what runs next and where: fair queueing over rows, two choices among engines.
+
+Owns `World.prefix_hints`, and makes the rows of `World.attempts`. Relies on the engines that
+`fleet` keeps and on their latest reports, corrected by this daemon's own attempts since then. Does
+not retry: what failed comes back to the queue through `attempts`.
+"""
 
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import Attempt, Engine, Request, RequestState
 from pondtiller.serve.core.events import RequestQueued
 from pondtiller.serve.core.instructions import EngineRequest, StartAttempt
-from pondtiller.serve.core.world import PrefixHint, TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.views import PrefixHint
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.engine_choice import cheaper_of_two, prefix_key
 from pondtiller.serve.systems.fleet import is_usable
 
--- a/src/pondtiller/serve/systems/drain.py
+++ b/src/pondtiller/serve/systems/drain.py
@@ -1,15 +1,20 @@
-"""Planned stop: announce it, take nothing new, finish what is in progress, then end."""
+"""Planned stop: announce it, take nothing new, finish what is in progress, then end.
+
+Also waits, for a bounded time, until the member's registers have other replicas. Owns
+`World.draining` and `World.drained`. New requests are refused by `admission`.
+"""
 
 from pondtiller.serve.core.events import DrainRequested
 from pondtiller.serve.core.instructions import Drained
-from pondtiller.serve.core.world import TimerKind, World
-from pondtiller.serve.systems.registers import candidates
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
+from pondtiller.serve.systems.replica_repair import candidates
 
 CHECK_SECONDS = 0.2
 """How often a draining daemon looks whether its work has ended. Chosen, not measured."""
 ANNOUNCE_SECONDS = 1.0
-"""Before work is handed over: so long the news of leaving travels. Chosen: one probe of
-membership."""
+"""Pause before work is handed over, in which other members learn that this one leaves. Chosen: one
+probe of membership."""
 HAND_OVER_SECONDS = 20.0
 """Longest wait for the replicas of its registers to be replaced; then the daemon ends, and they are
 replaced as after a loss. Chosen, not measured."""
@@ -20,7 +25,7 @@
     if world.batch.of(DrainRequested) and not world.draining:
         world.draining = True
         world.drain_started_at = now
-        world.duties.clear()
+        world.stewarded.clear()
         world.membership.leave()
         world.log("draining", requests=len(world.requests), steps=len(world.steps))
         world.set_timer(TimerKind.DRAIN, now + ANNOUNCE_SECONDS)
--- a/src/pondtiller/serve/systems/fleet.py
+++ b/src/pondtiller/serve/systems/fleet.py
@@ -1,4 +1,9 @@
-"""Engines: who exists, who leaves, how loaded each is, and which this daemon uses."""
+"""Engines: which exist, which leave, how loaded each is, and which this daemon uses.
+
+Owns `World.engines` and `World.subset`. The list of machines lags behind, so engines' own reports
+and peers' marks count as well; a mark that an engine leaves holds for its generation. Which engine
+gets a request is chosen in `dispatch`.
+"""
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
@@ -9,7 +14,8 @@
 from pondtiller.serve.core.entities import Engine
 from pondtiller.serve.core.events import EnginePollFailed, EngineReported
 from pondtiller.serve.core.instructions import PollEngine
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.peers import note_leaving, note_version
 
 
@@ -112,11 +118,11 @@
 
 def _poll(world: World, name: str, now: float) -> None:
     engine = world.engines.get(name)
-    is_used = name in world.subset or name in world.duties
+    is_used = name in world.subset or name in world.stewarded
     if engine is None or not is_used:
         return
     world.do(PollEngine(name, engine.address))
-    is_busy = bool(world.requests) or engine.reported_at is None or name in world.duties
+    is_busy = bool(world.requests) or engine.reported_at is None or name in world.stewarded
     seconds = constants.ENGINE_POLL_SECONDS if is_busy else constants.IDLE_POLL_SECONDS
     due = now + seconds * world.source.uniform(0.8, 1.2)
     world.set_timer(TimerKind.POLL_ENGINE, due, name)
--- a/src/pondtiller/serve/systems/limits.py
+++ b/src/pondtiller/serve/systems/limits.py
@@ -1,4 +1,9 @@
-"""Limits of rows: demands shares for this daemon and divides limits where it is its duty."""
+"""Limits of rows: asks for shares for this daemon, and divides the limits that it allocates.
+
+Owns `World.shares`, `World.allocators` and the requests that wait for a share. A limit holds
+everywhere together, since the division of a row is one register; where that register cannot be
+written, held shares run out with their leases and nothing new starts.
+"""
 
 from pondtiller import wire
 from pondtiller.coordination.outbound import Outbound
@@ -14,20 +19,20 @@
 from pondtiller.hashing import owner
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import RequestState
-from pondtiller.serve.core.events import ShareObtained
-from pondtiller.serve.core.world import TimerKind, World
-from pondtiller.serve.systems.peers import ShareMessageArrived
+from pondtiller.serve.core.events import ShareMessageArrived, ShareObtained
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems.registers import change_register, is_available
 
 IDLE_HEADROOM = 1
 """Places asked for beyond what is used and waits, so that a first request finds one. Chosen, not
 measured."""
 FIRST_ROUND_SECONDS = 0.005
-"""An allocator waits so long for further demands that come together. Chosen, not measured: below
-one trip between zones and back."""
+"""How long an allocator collects further demands before it divides. Chosen, not measured: below one
+round trip between zones."""
 ASK_AGAIN_SECONDS = 0.1
-"""A demand that is not answered for so long is sent again, above 40 members in proportion later.
-Chosen, not measured."""
+"""Age at which an unanswered demand is sent again; above 40 members it grows in proportion. Chosen,
+not measured."""
 PAUSE_SECONDS = 0.25
 """Shortest pause between two divisions of a row, above 40 members in proportion longer: 340 holders
 that ask each second would cost 15% of a core a row, with the stretched pace it is 1.9%."""
--- a/src/pondtiller/serve/systems/peers.py
+++ b/src/pondtiller/serve/systems/peers.py
@@ -1,44 +1,25 @@
-"""Messages between daemons: opens letters, merges gossip, addresses what is to be sent."""
+"""Messages between daemons: opens letters, merges gossip, addresses what is to be sent.
 
-from dataclasses import dataclass
+Runs first and last in each pass. Owns the gossip's facts: versions of models, marks of engines that
+leave, digests of documents; each only rises, so letters may come twice and in any order. Other
+messages go on as typed events; what they mean is decided by the systems that read them.
+"""
 
 from pondtiller import wire
 from pondtiller.coordination.outbound import Outbound
-from pondtiller.serve.core.events import LetterArrived
+from pondtiller.serve.core.events import (
+    DocumentsAdopted,
+    LetterArrived,
+    PeerMessageArrived,
+    RegisterMessageArrived,
+    ShareMessageArrived,
+    StatusMessageArrived,
+)
 from pondtiller.serve.core.instructions import SendPeer
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.wire.envelope import GOSSIPING, Letter, PeerMessage
 
-
-@dataclass(frozen=True, slots=True)
-class PeerMessageArrived:
-    """Internal: base of the typed messages that other systems read."""
-
-    sender: str
-    incarnation: int
-    message: PeerMessage
-
-
-@dataclass(frozen=True, slots=True)
-class RegisterMessageArrived(PeerMessageArrived):
-    """Internal: a message of the registers."""
-
-
-@dataclass(frozen=True, slots=True)
-class ShareMessageArrived(PeerMessageArrived):
-    """Internal: a demand for, or a grant of, a share of a limit."""
-
-
-@dataclass(frozen=True, slots=True)
-class StatusMessageArrived(PeerMessageArrived):
-    """Internal: a member's status report."""
-
-
-@dataclass(frozen=True, slots=True)
-class DocumentsAdopted:
-    """Internal: a peer sent a newer document."""
-
-
 REGISTER_MESSAGES = (
     wire.Prepare,
     wire.Promise,
@@ -115,7 +96,7 @@
 
 
 def note_leaving(world: World, engine: str, generation: int) -> None:
-    """Learn that an engine leaves; news are passed on at once."""
+    """Learn that an engine leaves; a new mark is passed on at once."""
     if not world.mechanisms.leaving_marks:
         return
     known = world.engines.get(engine)
--- a/src/pondtiller/serve/systems/readiness.py
+++ b/src/pondtiller/serve/systems/readiness.py
@@ -1,7 +1,12 @@
-"""Decides when a daemon may serve: not before it knows the newest table."""
+"""Decides when a daemon may serve: not before it knows the newest table.
+
+Owns `World.ready`, which stays once it is set: a daemon that loses the object service or its peers
+later goes on with the table that it has.
+"""
 
 from pondtiller.serve.core import constants
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.world import World
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 CHECK_SECONDS = 0.2
--- a/src/pondtiller/serve/systems/slots.py
+++ b/src/pondtiller/serve/systems/slots.py
@@ -2,22 +2,16 @@
 
 A slot is filled only by its latest try, and only with weights that the bound in force at
 that moment allows.
+
+Owns `World.rollouts` and `World.scoring`, the tries and scores under way by their identifiers. A
+sample that failed is made again for as long as its step is open.
 """
 
 from dataclasses import replace
 
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.serve.core import constants
-from pondtiller.serve.core.entities import (
-    Request,
-    RequestSpec,
-    Sample,
-    Slot,
-    SlotKey,
-    SlotState,
-    Step,
-    StepKey,
-)
+from pondtiller.serve.core.entities import Request, RequestSpec
 from pondtiller.serve.core.events import (
     RequestFinished,
     RolloutStarted,
@@ -25,8 +19,10 @@
     ScoreArrived,
 )
 from pondtiller.serve.core.instructions import ScoreSample
+from pondtiller.serve.core.step_entities import Sample, Slot, SlotKey, SlotState, Step, StepKey
+from pondtiller.serve.core.timers import TimerKind
 from pondtiller.serve.core.tokens import oldest_version
-from pondtiller.serve.core.world import TimerKind, World
+from pondtiller.serve.core.world import World
 from pondtiller.serve.systems import lifecycle
 from pondtiller.table.sheet import Row, RowKind
 
--- a/src/pondtiller/serve/systems/status.py
+++ b/src/pondtiller/serve/systems/status.py
@@ -1,4 +1,8 @@
-"""Status: each daemon reports to its zone's writer, which writes one object for the zone."""
+"""Status: each daemon reports to its zone's writer, which writes one object for the zone.
+
+Owns `World.reports`, the members' latest reports, in the writer's memory; another writer collects
+them again. Status is for people: nothing is decided from it.
+"""
 
 import math
 
@@ -9,14 +13,17 @@
 from pondtiller.hashing import owner
 from pondtiller.serve.core import constants
 from pondtiller.serve.core.entities import RowCounts
+from pondtiller.serve.core.events import StatusMessageArrived
 from pondtiller.serve.core.instructions import WriteStore
 from pondtiller.serve.core.reports import DaemonReport, RowFigures
-from pondtiller.serve.core.world import MemberReport, TimerKind, World
-from pondtiller.serve.systems.peers import StatusMessageArrived
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.views import MemberReport
+from pondtiller.serve.core.world import World
 from pondtiller.table.sheet import DOCUMENT_NAME
 
 FORGET_SECONDS = 60.0
-"""A daemon that has not reported for so long leaves the zone's status. Chosen: twelve reports."""
+"""Age of the latest report at which a daemon is left out of the zone's status. Chosen: twelve
+reports."""
 
 
 class DaemonStatus(BaseModel):
--- a/src/pondtiller/serve/systems/store.py
+++ b/src/pondtiller/serve/systems/store.py
@@ -1,6 +1,7 @@
-"""The platform's object service: list once, watch where it is this daemon's duty, adopt.
+"""The platform's object service: listed once, watched by some, adopted by all.
 
-Few daemons of a zone watch; all others get documents from their peers.
+Few daemons of a zone watch; all others get documents from their peers. Owns `World.store` and
+`World.stored_replicas`; the status objects of zones are written by `status`.
 """
 
 from result import Err, Ok
@@ -19,11 +20,13 @@
     StoreWriteResult,
 )
 from pondtiller.serve.core.instructions import ListStore, WatchStore
-from pondtiller.serve.core.world import StoredReplicas, TimerKind, World
-from pondtiller.serve.systems import fleet, peers, registers
+from pondtiller.serve.core.timers import TimerKind
+from pondtiller.serve.core.views import StoredReplicas
+from pondtiller.serve.core.world import World
+from pondtiller.serve.systems import fleet, peers, shard_documents
 from pondtiller.table import sheet
 
-DUTY_CHECK_SECONDS = 2.0
+WATCHER_CHECK_SECONDS = 2.0
 """How often a daemon looks whether it is a watcher of its zone. Chosen, not measured."""
 DOCUMENTS = (sheet.DOCUMENT_NAME, constants.FLEET_DOCUMENT)
 
@@ -50,7 +53,7 @@
 
 
 def refresh(world: World) -> None:
-    """Ask for a fresh list at the next occasion."""
+    """Ask for a fresh list with the next call."""
     world.store.outdated = True
     world.set_timer(TimerKind.STORE, world.store.answered_at or 0.0)
 
@@ -78,7 +81,7 @@
     match replica_configuration.parse(stored.body):
         case Ok(configuration):
             world.stored_replicas = StoredReplicas(stored.revision, configuration)
-            registers.spread_configuration(world, configuration, now)
+            shard_documents.spread_configuration(world, configuration, now)
         case Err(problem):
             world.log("document_invalid", document=stored.name, problem=problem)
 
@@ -95,7 +98,7 @@
         store.is_busy = True
         world.do(WatchStore(store.revision))
     else:
-        world.set_timer(TimerKind.STORE, now + DUTY_CHECK_SECONDS)
+        world.set_timer(TimerKind.STORE, now + WATCHER_CHECK_SECONDS)
 
 
 def _is_watcher(world: World) -> bool:
@@ -131,7 +134,7 @@
         elif document.name == constants.FLEET_DOCUMENT:
             fleet.adopt_fleet(world, document)
         elif document.name.startswith(replica_configuration.DOCUMENT_PREFIX):
-            registers.adopt_shard(world, document, now)
+            shard_documents.adopt_shard(world, document, now)
     if adopted:
         peers.spread(world)
 
--- a/src/pondtiller/store/mirror.py
+++ b/src/pondtiller/store/mirror.py
@@ -11,7 +11,7 @@
 """
 
 from collections.abc import Callable, Mapping
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import curio
 
@@ -26,6 +26,7 @@
     StoreObject,
 )
 from pondtiller.process import clock, logs
+from pondtiller.process.curio_types import Event
 from pondtiller.process.spawner import Spawner
 from pondtiller.process.supervise import keep_running
 from pondtiller.store.store_watch import StoreHealth, StoreReader, Watch
@@ -117,7 +118,7 @@
         reader = MirroringReader(store, self.kinds)
         self._followed = {kind: self._watch(reader, kind) for kind in self.kinds}
         self._followed[names.ENGINES].rest = lambda: ENGINES_REST_SECONDS
-        self._waiting: set[Any] = set()
+        self._waiting: set[Event] = set()
         self._watches = Spawner()
 
     def _watch(self, reader: MirroringReader, kind: str) -> Watch:
@@ -147,7 +148,7 @@
         is_known = all(self.kinds[kind].at for kind in ALWAYS)
         return self.is_on and is_known and self.age_seconds < FRESH_SECONDS
 
-    def _may_tell(self, kind: str) -> bool:
+    def _may_answer(self, kind: str) -> bool:
         """Return whether the mirror may answer for a kind; a further one counts for itself only."""
         times = self._further.get(kind)
         if times is None:
@@ -157,22 +158,22 @@
 
     async def run(self) -> None:
         """Follow the store while enough gateways follow this replica, until cancelled."""
-        was_told: set[str] = set()
+        answered_before: set[str] = set()
         while True:
             is_wanted = self._expected_followers() >= FEWEST_FOLLOWERS
             if is_wanted != self.is_on:
                 await self._switch(is_wanted)
-            told = {kind for kind in self.kinds if self._may_tell(kind)}
-            if told != was_told:
+            answered = {kind for kind in self.kinds if self._may_answer(kind)}
+            if answered != answered_before:
                 logs.decision(
                     "mirror",
                     fresh=self.is_fresh(),
                     on=self.is_on,
                     age=self.age_seconds,
-                    told=",".join(sorted(told)),
+                    told=",".join(sorted(answered)),
                 )
                 await self._wake()
-            was_told = told
+            answered_before = answered
             await curio.sleep(CHECK_SECONDS)
 
     async def _switch(self, is_on: bool) -> None:
@@ -193,7 +194,7 @@
         if message.passes_on:
             return await self._pass_on(message)
         until = clock.monotonic() + message.wait_milliseconds / 1000.0
-        event = curio.Event()
+        event: Event = curio.Event()
         self._waiting.add(event)
         try:
             while True:
@@ -222,7 +223,7 @@
     def _page(self, message: ReadMirror) -> MirrorPage:
         if not self.is_on:
             return MirrorPage(status=MirrorStatus.NOT_MIRRORED)
-        if not self._may_tell(message.kind):
+        if not self._may_answer(message.kind):
             return MirrorPage(status=MirrorStatus.UNAVAILABLE)
         kind = self.kinds[message.kind]
         return kind.since(message.at) if message.at else kind.listing()
