--- a/src/pondtiller/gateway/callers/front.py
+++ b/src/pondtiller/gateway/callers/front.py
@@ -16,7 +16,7 @@
 from pondtiller.hashing import DIGEST_SHOWN, content_digest
 from pondtiller.httpio.messages import HttpRequest, HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange
-from pondtiller.peers.step_client import StepClient
+from pondtiller.peers.leader_client import LeaderClient
 from pondtiller.platform import engine_format, names, step_format
 from pondtiller.process import clock, logs
 from pondtiller.process.run_until import run_until
@@ -49,7 +49,7 @@
         self,
         forwarder: Forwarder,
         streams: StreamForwarder,
-        steps: StepClient,
+        steps: LeaderClient,
         metrics: GatewayMetrics,
         meter: UseMeter,
         are_keys_fresh: Callable[[], bool],
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -34,8 +34,8 @@
 from pondtiller.gateway.watches import GatewayWatches
 from pondtiller.httpio.client import HttpClient
 from pondtiller.peers.leader_age import leader_age
+from pondtiller.peers.leader_client import LeaderClient
 from pondtiller.peers.share_asker import ShareAsker
-from pondtiller.peers.step_client import StepClient
 from pondtiller.peers.usage_teller import UsageTeller
 from pondtiller.platform.object_client import ObjectClient
 from pondtiller.routes.cold import SUBJECT_PREFIX as COLD_PREFIX
@@ -105,7 +105,7 @@
             settings.zone,
             rules,
         )
-        self.steps = StepClient(settings.name, self.leadership.leader, self)
+        self.steps = LeaderClient(settings.name, self.leadership.leader, self)
         streams = StreamForwarder(forwarder, self.pool, self.gate)
         self.agreed = AgreedClock()
         usage = usage_settings(settings)
--- a/src/pondtiller/gateway/tests/test_result_cache.py
+++ b/src/pondtiller/gateway/tests/test_result_cache.py
@@ -3,9 +3,9 @@
 import curio
 
 from pondtiller.address import Address
+from pondtiller.peers.leader_client import LeaderClient
 from pondtiller.peers.replicas import LeaderPlace
 from pondtiller.peers.result_cache import ResultCache
-from pondtiller.peers.step_client import StepClient
 from pondtiller.rollouts.steps import LARGEST_PAGE_BYTES, StepStatus
 from pondtiller.wire.steplog import ReadResults, ResultsPage, SampleResult
 
@@ -41,12 +41,12 @@
         )
 
 
-def client(leader: Leader) -> StepClient:
+def client(leader: Leader) -> LeaderClient:
     place = LeaderPlace("me", Address("h", 1), 1)
-    return StepClient("me", lambda: place, leader)
+    return LeaderClient("me", lambda: place, leader)
 
 
-def read(reader: StepClient, position: int) -> ResultsPage:
+def read(reader: LeaderClient, position: int) -> ResultsPage:
     return curio.run(reader.read, "step", position, 0.0)
 
 
--- a/src/pondtiller/peers/step_client.py
+++ b/src/pondtiller/peers/leader_client.py
@@ -44,7 +44,7 @@
         """Answer one call."""
 
 
-class StepClient:
+class LeaderClient:
     """Finds the leader and calls it.
 
     Parameters
--- a/src/pondtiller/peers/usage_teller.py
+++ b/src/pondtiller/peers/usage_teller.py
@@ -6,8 +6,8 @@
 
 from pondtiller.coordination.agreed_clock import AgreedClock
 from pondtiller.hashing import score
+from pondtiller.peers.leader_client import LeaderClient
 from pondtiller.peers.replicas import LeaderPlace
-from pondtiller.peers.step_client import StepClient
 from pondtiller.process import clock
 from pondtiller.usage.meter import UseMeter, pack_rows, window_of
 from pondtiller.wire.steplog import UseTaken, UseTold
@@ -36,7 +36,7 @@
         name: str,
         meter: UseMeter,
         agreed: AgreedClock,
-        steps: StepClient,
+        steps: LeaderClient,
         find_leader: Callable[[], LeaderPlace | None],
     ) -> None:
         self._name = name
