--- a/src/pondtiller/gateway/leader/duties.py
+++ b/src/pondtiller/gateway/leader/duties.py
@@ -7,8 +7,7 @@
 from pondtiller.process import clock
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.steplog.entry import Entry
-from pondtiller.steplog.instructions import Won
-from pondtiller.steplog.leader import LEASE_ENDED
+from pondtiller.steplog.instructions import StandDown, Won
 from pondtiller.wire.steplog import (
     AskShares,
     EndStep,
@@ -56,10 +55,16 @@
             self.term.loaded(entries)
 
     async def end(self, reason: str) -> None:
-        """Stop all runs at once."""
+        """Stop all runs at once.
+
+        Parameters
+        ----------
+        reason
+            Why: a `StandDown` where the log ended the term.
+        """
         term, self.term = self.term, None
         if term is not None:
-            if reason == LEASE_ENDED:
+            if reason == StandDown.LEASE_ENDED:
                 await term.hand_over_texts()
             await term.stop()
 
--- a/src/pondtiller/gateway/leader/leadership.py
+++ b/src/pondtiller/gateway/leader/leadership.py
@@ -23,8 +23,17 @@
     next_members,
     spare_to_admit,
 )
-from pondtiller.steplog.instructions import Committed, Deposed, Loaded, Phase, Send, Won
-from pondtiller.steplog.leader import HEARTBEAT_SECONDS, LeaderLog
+from pondtiller.steplog.instructions import (
+    Committed,
+    Deposed,
+    Loaded,
+    Phase,
+    Send,
+    StandDown,
+    Won,
+)
+from pondtiller.steplog.leader import LeaderLog
+from pondtiller.steplog.term_rules import HEARTBEAT_SECONDS
 from pondtiller.wire.steplog import (
     Append,
     Appended,
@@ -79,7 +88,7 @@
         """Take values of the log that were not needed to begin."""
         raise NotImplementedError
 
-    async def end(self, reason: str) -> None:
+    async def end(self, reason: StandDown) -> None:
         """Stop at once: another daemon may lead now."""
         raise NotImplementedError
 
@@ -318,7 +327,7 @@
             self._not_before = clock.monotonic() + deposed.wait_seconds + delay
         logs.decision(
             "leader_ended",
-            reason=deposed.reason,
+            reason=deposed.reason.value,
             highest_epoch=self.replicas.highest_epoch,
             wait=deposed.wait_seconds,
         )
--- a/src/pondtiller/gateway/tests/test_leadership.py
+++ b/src/pondtiller/gateway/tests/test_leadership.py
@@ -7,7 +7,7 @@
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.peers.replicas import LeaderPlace
 from pondtiller.process import clock
-from pondtiller.steplog.instructions import Deposed, Phase
+from pondtiller.steplog.instructions import Deposed, Phase, StandDown
 from pondtiller.wire.steplog import Group, GroupMember, ReplicaView
 
 MEMBER = GroupMember(name="r0", disk="d0", zone="z", host="h", port=1)
@@ -68,7 +68,7 @@
 
     async def main() -> None:
         gateway, now = Gateway(), clock.monotonic()
-        await gateway.leadership._deposed(Deposed("refused", 7, wait_seconds=2.0))
+        await gateway.leadership._deposed(Deposed(StandDown.PROMISE_REFUSED, 7, wait_seconds=2.0))
         gateway.leader = OTHER
         assert not await gateway.stands(now + 0.1)
         gateway.leader = None
--- a/src/pondtiller/gateway/tests/test_system.py
+++ b/src/pondtiller/gateway/tests/test_system.py
@@ -11,6 +11,7 @@
 from pondtiller.platform.standins import configuration
 from pondtiller.process import clock
 from pondtiller.routes.answer_times import FIRST_SECONDS
+from pondtiller.steplog.instructions import StandDown
 
 
 async def ready(system: System) -> None:
@@ -431,7 +432,7 @@
         gateway = await system.until_led()
         engines = gateway.engines.engines.values()
         await system.until(lambda: sum(each.running for each in engines) > 0)
-        gateway.leadership.log._depose("the lease ended", gateway.leadership.log.epoch)
+        gateway.leadership.log._depose(StandDown.LEASE_ENDED, gateway.leadership.log.epoch)
         await gateway.leadership.flush()
         assert sum(each.running for each in engines) == 0
         for engine in system.llm:
--- a/src/pondtiller/rollouts/tests/test_run_holding.py
+++ b/src/pondtiller/rollouts/tests/test_run_holding.py
@@ -17,8 +17,8 @@
     after_asking,
     next_step,
 )
-from pondtiller.steplog.leader import HEARTBEAT_SECONDS
 from pondtiller.steplog.replica import LEASE_SECONDS
+from pondtiller.steplog.term_rules import HEARTBEAT_SECONDS
 
 LOST = LostLeader(epoch=5, heard_at=0.0)
 
--- a/src/pondtiller/steplog/holder.py
+++ b/src/pondtiller/steplog/holder.py
@@ -22,3 +22,8 @@
     claims = [entry for entry in entries if entry.key.startswith(HOLDER_PREFIX)]
     last = max(claims, key=lambda entry: entry.key, default=None)
     return last.value.decode() if last is not None else ""
+
+
+def older_claims(key: str, keys: Iterable[str]) -> list[str]:
+    """Return the claims among some keys that are older than one."""
+    return [each for each in keys if each.startswith(HOLDER_PREFIX) and each < key]
--- a/src/pondtiller/steplog/leader.py
+++ b/src/pondtiller/steplog/leader.py
@@ -1,4 +1,4 @@
-"""The leader's side of the step log: takeover, writes, commits and the lease. No I/O.
+"""The leader's side of the step log: the phases of a term, from a candidate to its end. No I/O.
 
 A driver connects to replicas, hands in what they answer, and carries out the instructions.
 Connections keep their order and are answered in order; one that breaks is handed in as lost.
@@ -6,46 +6,45 @@
 Takeover follows Paxos with one epoch for all keys: the candidate has a read quorum promise
 its epoch, takes each key's value of the highest epoch, and writes again what a write quorum
 does not provably hold. Only then it leads.
+
+Owns the phase of a term, which ends with it; values and messages are `replication.py`'s, quorums
+`voting.py`'s, what is read first `takeover_reads.py`'s. The rules of its lease are in
+`term_rules.py`. When to stand, and which members a group should have, is decided by the driver.
 """
 
 from collections.abc import Callable, Collection
 
 from pondtiller.routes.places import Places
-from pondtiller.steplog import group as groups
 from pondtiller.steplog.deferred import DeferredValues
-from pondtiller.steplog.entry import Entry, pack_entries, unpack_entries
-from pondtiller.steplog.follower import HEARTBEAT, PART_OF_WRITES, Follower
-from pondtiller.steplog.holder import HOLDER_PREFIX, holder_key, holder_of
+from pondtiller.steplog.entry import Entry, unpack_entries
+from pondtiller.steplog.follower import HEARTBEAT, Follower
+from pondtiller.steplog.group import GROUP_PREFIX, group_key
+from pondtiller.steplog.holder import HOLDER_PREFIX, holder_key, holder_of, older_claims
 from pondtiller.steplog.instructions import (
     Committed,
     Deposed,
     Instruction,
     Loaded,
     Phase,
-    Send,
+    StandDown,
     Won,
 )
-from pondtiller.steplog.order_notes import ORDER_PREFIX, OrderNote, last_orders, parse_note
-from pondtiller.steplog.replica import LEASE_SECONDS
-from pondtiller.wire.steplog import (
-    Append,
-    Appended,
-    Fetch,
-    Fetched,
-    Group,
-    GroupMember,
-    Prepare,
-    Promise,
-    Resign,
+from pondtiller.steplog.order_notes import ORDER_PREFIX, OrderNotes, older_notes
+from pondtiller.steplog.replication import Replication
+from pondtiller.steplog.takeover_reads import Fetches, best_holders, deferrable
+from pondtiller.steplog.term_rules import (
+    RefusedPromise,
+    TermState,
+    is_takeover_over,
+    must_stand_down_on,
+    reason_to_stand_down,
 )
+from pondtiller.steplog.voting import VotingGroups
+from pondtiller.wire.steplog import Appended, Fetched, Group, GroupMember, Promise
 
-HEARTBEAT_SECONDS = 0.3
-LEASE_MARGIN_SECONDS = 0.15
-TAKEOVER_SECONDS = 3.0
-CHUNK_KEYS = 64
 EPOCH_ROUND = 1 << 32
-LEASE_ENDED = "the lease ended"
-"""Why a leader is deposed that its replicas do not hear, while other daemons may."""
+"""Distance of two epochs of one gateway: the lower 32 bits of an epoch are its identity, so no two
+candidates share one."""
 
 
 def next_epoch(highest: int, identity: int) -> int:
@@ -63,7 +62,7 @@
     Parameters
     ----------
     name, host, port
-        Under which other daemons find this leader.
+        Under which other gateways find this leader.
     identity
         32-bit number of this process, for epochs.
     may_wait
@@ -71,9 +70,11 @@
 
     Attributes
     ----------
+    admitted
+        Names of replicas that are brought up to date, to become members.
     holds_back
-        Whether these are not read yet: what a new leader needs first is to have its links and
-        its processor. Ends with the leader's term.
+        Whether values that may wait are not read yet: what a new leader needs first is to have
+        its links and its processor. Ends with the leader's term.
     """
 
     def __init__(
@@ -85,45 +86,96 @@
         may_wait: Callable[[Collection[str]], set[str]] = _no_keys,
     ) -> None:
         self.phase = Phase.IDLE
-        self.epoch = 0
-        self.entries: dict[str, Entry] = {}
-        self.deferred = DeferredValues()
         self.holds_back = False
-        self.group = Group()
-        self.next_group: Group | None = None
-        self.lost_disks: set[str] = set()
-        self.followers: dict[int, Follower] = {}
+        self.admitted: set[str] = set()
         self._name = name
-        self._host = host
-        self._port = port
         self._identity = identity
         self._may_wait = may_wait
+        self._replication = Replication(name, host, port)
+        self._groups = VotingGroups()
+        self._notes = OrderNotes()
+        self._fetches = Fetches()
         self._first_group = Group()
         self._hint = Group()
-        self.admitted: set[str] = set()
-        self._known_groups: dict[int, Group] = {}
-        self._oldest_group = 0
         self._advanced_at = 0.0
-        self._sequence = 0
-        self._noted_at: dict[str, float] = {}
-        self._order_number = 0
-        self._pending: dict[str, int] = {}
-        self._unsent_puts: list[Entry] = []
-        self._unsent_drops: list[str] = []
-        self._fetching: dict[int, list[list[str]]] = {}
-        self._out: list[Instruction] = []
 
     def take(self) -> list[Instruction]:
         """Return the instructions since the last call."""
-        taken, self._out = self._out, []
-        return taken
+        return self._replication.take()
+
+    # State
+
+    @property
+    def epoch(self) -> int:
+        """Epoch of this term, or of the last one."""
+        return self._replication.epoch
+
+    @property
+    def entries(self) -> dict[str, Entry]:
+        """All values by key, but for those that are read later."""
+        return self._replication.entries
+
+    @property
+    def deferred(self) -> DeferredValues:
+        """Values that are read once this gateway leads."""
+        return self._replication.deferred
+
+    @property
+    def followers(self) -> dict[int, Follower]:
+        """Connected replicas by number of the link."""
+        return self._replication.followers
+
+    @property
+    def group(self) -> Group:
+        """The group in force; generation 0 while none is known."""
+        return self._groups.group
+
+    @group.setter
+    def group(self, group: Group) -> None:
+        self._groups.group = group
+
+    @property
+    def next_group(self) -> Group | None:
+        """The group that is to replace it; None while no change is under way."""
+        return self._groups.next_group
+
+    @property
+    def is_leading(self) -> bool:
+        """Whether takeover is complete."""
+        return self.phase is Phase.LEADING
+
+    def holds_lease(self, now: float) -> bool:
+        """Return whether no other gateway can lead at this moment."""
+        return self.is_leading and now < self.lease_until()
+
+    def lease_until(self) -> float:
+        """Return the time until which a write quorum keeps others from leading."""
+        return self._groups.lease_until(self.phase, self.followers)
+
+    def synced_members(self) -> list[GroupMember]:
+        """Return the connected replicas that hold everything."""
+        return [
+            follower.member
+            for follower in self.followers.values()
+            if follower.is_synced and follower.acked >= 0
+        ]
+
+    def member_links(self, zone: str, places: Places) -> list[int]:
+        """Return the links of the group's members: the nearest to a zone, the longest connected."""
+        names = self._groups.names()
+        links = [
+            (places.distance(zone, follower.member.zone), link)
+            for link, follower in self.followers.items()
+            if follower.member.name in names
+        ]
+        return [link for _, link in sorted(links)]
 
     # Links
 
     def connected(self, link: int, member: GroupMember, now: float) -> None:
         """Take a replica's connection; a leader brings it up to date."""
         self.followers[link] = Follower(link, member, member.disk)
-        self._note_lost_disk(member)
+        self._groups.note_lost_disk(self.phase, member)
         if self.phase is not Phase.IDLE:
             self._ask_wanted(now)
 
@@ -136,31 +188,10 @@
         """Forget a connection."""
         self.followers.pop(link, None)
         self.deferred.link_lost(link)
-        if link in self._fetching:
-            self._depose("a replica was lost during takeover", self.epoch)
+        if self._fetches.is_asked(link):
+            self._depose(StandDown.REPLICA_LOST, self.epoch)
 
-    # Takeover
-
-    def stand(
-        self, highest_seen: int, first_group: Group, now: float, known: Group | None = None
-    ) -> None:
-        """Ask the group's connected replicas for a promise.
-
-        Parameters
-        ----------
-        first_group
-            Group to form where the replicas hold none yet.
-        known
-            Newest group that any replica told of; others that promises tell of are asked too.
-            All connected replicas are asked where no group is known.
-        """
-        self._reset()
-        self._hint = known if known is not None else Group()
-        self.phase = Phase.PREPARING
-        self.epoch = next_epoch(max(highest_seen, self.epoch), self._identity)
-        self._first_group = first_group
-        self._advanced_at = now
-        self._ask_wanted(now)
+    # Answers
 
     def promised(self, link: int, promise: Promise, now: float) -> None:
         """Take a replica's answer to `Prepare`."""
@@ -169,90 +200,47 @@
             return
         if self.phase is Phase.IDLE:
             if promise.granted:
-                self._release(follower)
+                self._replication.release(follower)
             return
         if not promise.granted:
-            if promise.epoch > self.epoch or self.phase is Phase.PREPARING:
-                # A refusal tells whole milliseconds; the lease may last a part of one longer.
-                wait = (promise.wait_milliseconds + 1) / 1000.0
-                self._depose("a replica refused its promise", promise.epoch, wait)
+            self._promise_refused(promise)
             return
         if promise.epoch != self.epoch:
             return
-        self._answered(follower)
+        follower.consented()
         follower.keys = dict(zip(promise.keys, promise.epochs, strict=True))
-        self._learn_orders(promise, now)
+        self._notes.learn(promise.orders, now)
         if self.phase is Phase.PREPARING:
-            self._learn_groups(promise.groups)
+            self._groups.learn(promise.groups)
             self._ask_wanted(now)
             self._try_fetch()
         elif self.phase in (Phase.REWRITING, Phase.LEADING):
-            self._bring_up_to_date(follower, now)
+            self._replication.bring_up_to_date(follower, now)
             self._try_lead(now)
 
+    def _promise_refused(self, promise: Promise) -> None:
+        if must_stand_down_on(RefusedPromise(self.phase, promise.epoch, self.epoch)):
+            # A refusal tells whole milliseconds; the lease may last a part of one longer.
+            wait = (promise.wait_milliseconds + 1) / 1000.0
+            self._depose(StandDown.PROMISE_REFUSED, promise.epoch, wait)
+
     def fetched(self, link: int, answer: Fetched, now: float) -> None:
         """Take values asked for during takeover, or those that were left for later."""
         if self.phase is Phase.LEADING:
             self._take_deferred(answer, now)
             return
-        chunks = self._fetching.get(link)
-        if self.phase is not Phase.FETCHING or not chunks:
+        if self.phase is not Phase.FETCHING or not self._fetches.is_asked(link):
             return
         self._advanced_at = now
-        wanted = chunks.pop(0)
-        if not chunks:
-            del self._fetching[link]
+        wanted = self._fetches.answered(link)
         for entry in unpack_entries(answer.entries):
             self.entries[entry.key] = entry
         if any(key not in self.entries for key in wanted):
-            self._depose("a replica lacks a value that it named", self.epoch)
+            self._depose(StandDown.VALUE_LACKED, self.epoch)
             return
-        if not self._fetching:
+        if not self._fetches:
             self._rewrite(now)
 
-    # Writes
-
-    @property
-    def is_leading(self) -> bool:
-        """Whether takeover is complete."""
-        return self.phase is Phase.LEADING
-
-    def holds_lease(self, now: float) -> bool:
-        """Return whether no other daemon can lead at this moment."""
-        return self.is_leading and now < self.lease_until()
-
-    def lease_until(self) -> float:
-        """Return the time until which a write quorum keeps others from leading."""
-        untils = [self._lease_of(each) for each in self._voting_groups()]
-        return min(untils, default=float("-inf"))
-
-    def put(self, key: str, value: bytes) -> None:
-        """Write a value; `Committed` follows. A key is written once an epoch."""
-        entry = Entry(key=key, epoch=self.epoch, value=value)
-        self.entries[key] = entry
-        self.deferred.drop(key)
-        self._sequence += 1
-        self._pending[key] = self._sequence
-        self._unsent_puts.append(entry)
-
-    def drop(self, key: str) -> None:
-        """Remove a value that nobody needs any more."""
-        self.entries.pop(key, None)
-        self.deferred.drop(key)
-        self._pending.pop(key, None)
-        self._unsent_drops.append(key)
-
-    def flush(self, now: float) -> None:
-        """Send what was written since the last call, in one message a replica."""
-        if not self._unsent_puts and not self._unsent_drops:
-            return
-        puts, self._unsent_puts = self._unsent_puts, []
-        drops, self._unsent_drops = self._unsent_drops, []
-        message = Append(epoch=self.epoch, puts=pack_entries(puts), drops=drops)
-        for follower in self.followers.values():
-            if follower.is_synced:
-                self._send_append(follower, message, self._sequence, now)
-
     def appended(self, link: int, answer: Appended, now: float) -> None:
         """Take a replica's answer to `Append`."""
         follower = self.followers.get(link)
@@ -260,26 +248,48 @@
             return
         if not answer.accepted:
             if answer.epoch > self.epoch:
-                self._depose("a replica follows a higher epoch", answer.epoch)
+                self._depose(StandDown.HIGHER_EPOCH, answer.epoch)
             return
-        number = self._answered(follower)
+        number = follower.consented()
         if number != HEARTBEAT:
             self._advanced_at = now
         follower.acked = max(follower.acked, number)
         self._commit()
         self._try_lead(now)
 
+    # The term
+
+    def stand(
+        self, highest_seen: int, first_group: Group, now: float, known: Group | None = None
+    ) -> None:
+        """Ask the group's connected replicas for a promise.
+
+        Parameters
+        ----------
+        first_group
+            Group to form where the replicas hold none yet.
+        known
+            Newest group that any replica told of; others that promises tell of are asked too.
+            All connected replicas are asked where no group is known.
+        """
+        self._reset()
+        self._hint = known if known is not None else Group()
+        self.phase = Phase.PREPARING
+        self._replication.epoch = next_epoch(max(highest_seen, self.epoch), self._identity)
+        self._first_group = first_group
+        self._advanced_at = now
+        self._ask_wanted(now)
+
     def tick(self, now: float) -> None:
         """Renew the lease, and give up where it has ended."""
         if self.phase is Phase.IDLE:
             return
-        if self.phase is not Phase.LEADING and now > self._advanced_at + TAKEOVER_SECONDS:
-            self._depose("takeover took too long", self.epoch)
+        reason = reason_to_stand_down(self._state(), now)
+        if reason is not None:
+            self._depose(reason, self.epoch)
             return
-        if self.phase is Phase.LEADING and now >= self.lease_until():
-            self._depose(LEASE_ENDED, self.epoch)
-            return
-        self._send_heartbeats(now)
+        if self.phase is not Phase.PREPARING:
+            self._replication.send_heartbeats(now)
         self._try_lead(now)
         self._read_deferred(now)
 
@@ -287,183 +297,109 @@
         """Give the lease back."""
         if self.phase is Phase.IDLE:
             return
-        self._depose("resigned", self.epoch)
+        self._depose(StandDown.RESIGNED, self.epoch)
 
-    def change_group(self, members: list[GroupMember]) -> None:
-        """Begin a change of the group; only one is under way at a time."""
-        if not self.is_leading or self.next_group is not None:
-            return
-        generation = self.group.generation + 1
-        self._hint = self._first_group = Group()
-        self.next_group = Group(generation=generation, members=members)
-        self.put(groups.group_key(generation), bytes(self.next_group))
+    def _state(self) -> TermState:
+        return TermState(self.phase, self._advanced_at, self.lease_until())
 
-    def synced_members(self) -> list[GroupMember]:
-        """Return the connected replicas that hold everything."""
-        return [
-            follower.member
-            for follower in self.followers.values()
-            if follower.is_synced and follower.acked >= 0
-        ]
-
-    def member_links(self, zone: str, places: Places) -> list[int]:
-        """Return the links of the group's members: the nearest to a zone, the longest connected."""
-        names = {member.name for member in self.group.members}
-        links = [
-            (places.distance(zone, follower.member.zone), link)
-            for link, follower in self.followers.items()
-            if follower.member.name in names
-        ]
-        return [link for _, link in sorted(links)]
-
-    # Inside
+    def _depose(self, reason: StandDown, highest_epoch: int, wait_seconds: float = 0.0) -> None:
+        self._replication.release_all()
+        self._reset()
+        self._replication.instruct(Deposed(reason, highest_epoch, wait_seconds))
 
     def _reset(self) -> None:
         self.phase = Phase.IDLE
-        self.entries = {}
-        self.deferred = DeferredValues()
         self.holds_back = False
-        self.group = Group()
-        self.next_group = None
         self.admitted = set()
-        self._known_groups = {}
-        self._oldest_group = 0
-        self._noted_at = {}
-        self._order_number = 0
-        self._pending = {}
-        self._unsent_puts = []
-        self._unsent_drops = []
-        self._fetching = {}
-        for follower in self.followers.values():
-            follower.is_asked = False
-            follower.keys = None
-            follower.is_synced = False
-            follower.acked = -1
-            follower.waiting = []
-            follower.lease_from = float("-inf")
-
-    def _release(self, follower: Follower) -> None:
-        """Give back a lease that a failed candidate does not need, so that others can stand."""
-        self._out.append(Send(follower.link, Resign(epoch=self.epoch)))
-
-    def _depose(self, reason: str, highest_epoch: int, wait_seconds: float = 0.0) -> None:
-        for follower in self.followers.values():
-            if follower.keys is not None:
-                self._release(follower)
-        self._reset()
-        self._out.append(Deposed(reason, highest_epoch, wait_seconds))
+        self._replication.reset()
+        self._groups.reset()
+        self._notes = OrderNotes()
+        self._fetches = Fetches()
+
+    # Takeover
 
     def _ask_wanted(self, now: float) -> None:
         """Ask those for a promise that belong to the group, or are to, and were not asked yet.
 
         The other replicas cost nothing: no promise, no write and no heartbeat goes to them.
         """
-        groups_known = [self._hint, self._first_group, *self._voting_groups()]
-        wanted = {member.name for group in groups_known for member in group.members}
+        known = [self._hint, self._first_group, *self._groups.voting(self.phase)]
+        wanted = {member.name for group in known for member in group.members}
         wanted |= self.admitted
         for follower in self.followers.values():
             if not follower.is_asked and (not wanted or follower.member.name in wanted):
-                self._send_prepare(follower, now)
-
-    def _send_prepare(self, follower: Follower, now: float) -> None:
-        follower.is_asked = True
-        follower.waiting.append((PART_OF_WRITES, now))
-        follower.last_sent = now
-        message = Prepare(
-            epoch=self.epoch,
-            leader=self._name,
-            leader_host=self._host,
-            leader_port=self._port,
-            first_group=self._first_group,
-        )
-        self._out.append(Send(follower.link, message))
-
-    def _answered(self, follower: Follower) -> int:
-        """Note that the oldest message was answered with consent; return its write's number."""
-        if not follower.waiting:
-            return -1
-        number, sent_at = follower.waiting.pop(0)
-        follower.lease_from = sent_at
-        return number
-
-    def _learn_groups(self, found: list[Group]) -> None:
-        """Take the groups that one replica holds; older ones than its oldest are over."""
-        for each in found:
-            self._known_groups[each.generation] = each
-        if found:
-            self._oldest_group = max(self._oldest_group, found[0].generation)
-
-    def _learn_orders(self, promise: Promise, now: float) -> None:
-        """Take how long a replica has held notes of orders; the youngest copy counts."""
-        for order in promise.orders:
-            at = now - order.milliseconds / 1000.0
-            self._noted_at[order.key] = max(at, self._noted_at.get(order.key, at))
-
-    def _voting_groups(self) -> list[Group]:
-        """Return the groups whose quorums count: the newest, and the one that it replaces."""
-        if self.phase in (Phase.PREPARING, Phase.FETCHING):
-            known = sorted(self._known_groups)
-            return [self._known_groups[each] for each in known if each >= self._oldest_group]
-        voting = [self.group] if self.group.generation else []
-        if self.next_group is not None:
-            voting.append(self.next_group)
-        return voting
+                self._replication.send_prepare(follower, self._first_group, now)
 
     def _try_fetch(self) -> None:
-        answered = {
-            follower.disk for follower in self.followers.values() if follower.keys is not None
-        }
-        voting = self._voting_groups()
-        if not voting or not all(groups.has_read_quorum(each, answered) for each in voting):
+        """Read the log once a read quorum of each voting group has promised."""
+        promised = self._replication.promised()
+        answered = {follower.disk for follower in promised}
+        if not self._groups.have_read_quorums(self.phase, answered):
             return
         self.phase = Phase.FETCHING
-        self.deferred = DeferredValues(self._deferrable())
-        for key, link in self._best_holders().items():
-            if key in self.deferred.epochs:
-                continue
-            chunks = self._fetching.setdefault(link, [[]])
-            if len(chunks[-1]) >= CHUNK_KEYS:
-                chunks.append([])
-            chunks[-1].append(key)
-        # Answers of many messages let heartbeats through between them.
-        for link, chunks in self._fetching.items():
-            for keys in chunks:
-                self._out.append(Send(link, Fetch(epoch=self.epoch, keys=keys)))
+        self._replication.deferred = DeferredValues(self._deferrable())
+        for key, link in best_holders(self.followers.values()).items():
+            if key not in self.deferred.epochs:
+                self._fetches.add(link, key)
+        for link, keys in self._fetches.requests():
+            self._replication.send_fetch(link, keys)
 
     def _deferrable(self) -> dict[str, int]:
-        """Return the keys, with their epochs, whose values may be read once this daemon leads.
+        """Return the keys, with their epochs, whose values are read once this gateway leads."""
+        return deferrable(self._replication.promised(), self._may_wait, self._have_write_quorums)
 
-        A write quorum holds them at the highest epoch that anybody does, so nothing of them is
-        to be written again. As long as they are not read, they are as safe as they were without
-        a leader. Who lacks one is brought up to date later: the quorum is chosen among those
-        that hold most, and lacks none.
-        """
-        promised = [each for each in self.followers.values() if each.keys is not None]
-        highest: dict[str, int] = {}
+    def _have_write_quorums(self, disks: set[str]) -> bool:
+        return self._groups.have_write_quorums(self.phase, disks)
+
+    def _rewrite(self, now: float) -> None:
+        """Write again what a write quorum does not provably hold, then lead."""
+        self._groups.settle(self.phase)
+        self.phase = Phase.REWRITING
+        promised = self._replication.promised()
         for follower in promised:
-            for key, epoch in (follower.keys or {}).items():
-                highest[key] = max(epoch, highest.get(key, epoch))
-        waiting = {key: highest[key] for key in self._may_wait(highest.keys())}
-        quorum = self._most_complete_quorum(promised, waiting)
-        return {
-            key: epoch
-            for key, epoch in waiting.items()
-            if quorum and all((each.keys or {}).get(key) == epoch for each in quorum)
+            self._groups.note_lost_disk(self.phase, follower.member)
+        for entry in list(self.entries.values()):
+            if not self._is_written(entry, promised):
+                self.put(entry.key, entry.value)
+        # Each replica gets what it lacks with what brings it up to date.
+        self._replication.unwritten.forget_unsent_puts()
+        for follower in promised:
+            self._replication.bring_up_to_date(follower, now)
+        self._commit()
+        self._try_lead(now)
+
+    def _is_written(self, entry: Entry, promised: list[Follower]) -> bool:
+        holding = {
+            follower.disk
+            for follower in promised
+            if (follower.keys or {}).get(entry.key) == entry.epoch
         }
+        return self._have_write_quorums(holding)
 
-    def _most_complete_quorum(
-        self, promised: list[Follower], values: dict[str, int]
-    ) -> list[Follower]:
-        """Return a write quorum of those that hold most of some values; empty where none is."""
-        voting = self._voting_groups()
-        ordered = sorted(
-            promised, key=lambda each: len(values.items() & (each.keys or {}).items()), reverse=True
+    def _try_lead(self, now: float) -> None:
+        if self.phase is not Phase.REWRITING:
+            return
+        has_unwritten = bool(self._replication.unwritten)
+        if is_takeover_over(self._state(), has_unwritten, now):
+            self._lead()
+
+    def _lead(self) -> None:
+        if self.next_group is not None:
+            # Nothing of the newer group needed writing again, so it is in force.
+            self._finish_change(group_key(self.next_group.generation))
+        self.phase = Phase.LEADING
+        entries = tuple(
+            entry
+            for key, entry in self.entries.items()
+            if not key.startswith((GROUP_PREFIX, HOLDER_PREFIX, ORDER_PREFIX))
         )
-        for size in range(1, len(ordered) + 1):
-            disks = {follower.disk for follower in ordered[:size]}
-            if all(groups.has_write_quorum(each, disks, self.lost_disks) for each in voting):
-                return ordered[:size]
-        return []
+        notes = self._replication.keys_with(ORDER_PREFIX)
+        orders = self._notes.last_orders(notes, self._advanced_at)
+        holder = holder_of(self.entries.values())
+        won = Won(self.epoch, entries, holder, orders, tuple(self.deferred.epochs))
+        self._replication.instruct(won)
+
+    # Values that were left for later
 
     def _read_deferred(self, now: float) -> None:
         """Ask a replica for a part of the values that were left for later."""
@@ -472,175 +408,80 @@
         synced = [link for link, follower in self.followers.items() if follower.is_synced]
         request = self.deferred.next_request(synced, now)
         if request is not None:
-            link, keys = request
-            self._out.append(Send(link, Fetch(epoch=self.epoch, keys=keys)))
+            self._replication.send_fetch(*request)
 
     def _take_deferred(self, answer: Fetched, now: float) -> None:
         loaded = self.deferred.take(unpack_entries(answer.entries))
         self.entries.update((entry.key, entry) for entry in loaded)
-        self._out.append(Loaded(tuple(loaded)))
+        self._replication.instruct(Loaded(tuple(loaded)))
         if self.deferred.epochs:
             self._read_deferred(now)
             return
-        for follower in self.followers.values():
-            if follower.keys is not None and not follower.is_synced:
-                self._bring_up_to_date(follower, now)
-
-    def _best_holders(self) -> dict[str, int]:
-        """Return for each key the link to fetch it from: one that has its highest epoch.
-
-        Where several do, they share the keys.
-        """
-        highest: dict[str, int] = {}
-        holders: dict[str, list[int]] = {}
-        for follower in self.followers.values():
-            for key, epoch in (follower.keys or {}).items():
-                if epoch > highest.get(key, -1):
-                    highest[key], holders[key] = epoch, []
-                if epoch == highest[key]:
-                    holders[key].append(follower.link)
-        return {
-            key: links[place % len(links)] for place, (key, links) in enumerate(holders.items())
-        }
+        self._replication.bring_rest_up_to_date(now)
 
-    def _rewrite(self, now: float) -> None:
-        """Write again what a write quorum does not provably hold, then lead."""
-        # A newer group may not be written yet, so the one that it replaces counts as well.
-        voting = self._voting_groups()[-2:]
-        self.group = voting[0]
-        self.next_group = voting[1] if len(voting) > 1 else None
-        self.phase = Phase.REWRITING
-        for follower in self.followers.values():
-            if follower.keys is not None:
-                self._note_lost_disk(follower.member)
-        for entry in list(self.entries.values()):
-            if not self._is_written(entry):
-                self.put(entry.key, entry.value)
-        self._unsent_puts = []
-        for follower in self.followers.values():
-            if follower.keys is not None:
-                self._bring_up_to_date(follower, now)
-        self._commit()
-        self._try_lead(now)
+    # Writes
 
-    def _is_written(self, entry: Entry) -> bool:
-        holding = {
-            follower.disk
-            for follower in self.followers.values()
-            if follower.keys is not None and follower.keys.get(entry.key) == entry.epoch
-        }
-        return all(
-            groups.has_write_quorum(each, holding, self.lost_disks)
-            for each in self._voting_groups()
-        )
+    def put(self, key: str, value: bytes) -> None:
+        """Write a value; `Committed` follows. A key is written once an epoch."""
+        self._replication.put(key, value)
 
-    def _bring_up_to_date(self, follower: Follower, now: float) -> None:
-        held = follower.keys or {}
-        if self.deferred.is_lacked_by(held):
-            # It is brought up to date once the values are here.
-            return
-        puts = [entry for key, entry in self.entries.items() if held.get(key, -1) < entry.epoch]
-        known = self.entries.keys() | self.deferred.epochs.keys()
-        drops = [key for key in held if key not in known]
-        follower.is_synced = True
-        # Parts let heartbeats through between them; only the last one's answer counts.
-        while len(puts) > CHUNK_KEYS:
-            part, puts = puts[:CHUNK_KEYS], puts[CHUNK_KEYS:]
-            message = Append(epoch=self.epoch, puts=pack_entries(part))
-            self._send_append(follower, message, PART_OF_WRITES, now)
-        message = Append(epoch=self.epoch, puts=pack_entries(puts), drops=drops)
-        self._send_append(follower, message, self._sequence, now)
-
-    def _send_heartbeats(self, now: float) -> None:
-        """Renew the lease at all that promised, also while the log is still being read."""
-        heartbeat = Append(epoch=self.epoch)
-        if self.phase is Phase.PREPARING:
-            return
-        for follower in self.followers.values():
-            if follower.keys is not None and now >= follower.last_sent + HEARTBEAT_SECONDS:
-                self._send_append(follower, heartbeat, HEARTBEAT, now)
+    def drop(self, key: str) -> None:
+        """Remove a value that nobody needs any more."""
+        self._replication.drop(key)
 
-    def _send_append(self, follower: Follower, message: Append, number: int, now: float) -> None:
-        follower.waiting.append((number, now))
-        follower.last_sent = now
-        self._out.append(Send(follower.link, message))
+    def flush(self, now: float) -> None:
+        """Send what was written since the last call, in one message a replica."""
+        self._replication.flush(now)
 
     def _commit(self) -> None:
         """Tell of the writes that a write quorum of each voting group has on disk."""
-        while self._pending and next(iter(self._pending.values())) <= self._written_number():
-            number = self._written_number()
-            for key in [key for key, each in self._pending.items() if each <= number]:
-                del self._pending[key]
+        unwritten = self._replication.unwritten
+        while (oldest := unwritten.oldest()) is not None:
+            number = self._groups.written_number(self.phase, self.followers.values())
+            if oldest > number:
+                return
+            for key in unwritten.written(number):
+                unwritten.committed(key)
                 self._committed(key)
-                if key.startswith(groups.GROUP_PREFIX):
+                if key.startswith(GROUP_PREFIX):
                     # Other groups count from here on.
                     break
 
-    def _written_number(self) -> float:
-        """Return up to which write all voting groups have a write quorum."""
-        acked: dict[str, int] = {}
-        for follower in self.followers.values():
-            if follower.is_synced:
-                acked[follower.disk] = max(follower.acked, acked.get(follower.disk, -1))
-        return min(
-            (groups.quorum_number(each, acked, self.lost_disks) for each in self._voting_groups()),
-            default=float("inf"),
-        )
-
     def _committed(self, key: str) -> None:
-        if key.startswith(groups.GROUP_PREFIX):
+        if key.startswith(GROUP_PREFIX):
             self._finish_change(key)
         elif self.phase is Phase.LEADING:
-            self._out.append(Committed(key))
+            self._replication.instruct(Committed(key))
+
+    # The group
+
+    def change_group(self, members: list[GroupMember]) -> None:
+        """Begin a change of the group; only one is under way at a time."""
+        if not self.is_leading or self.next_group is not None:
+            return
+        generation = self.group.generation + 1
+        self._hint = self._first_group = Group()
+        change = self._groups.next_group = Group(generation=generation, members=members)
+        self.put(group_key(generation), bytes(change))
 
     def _finish_change(self, key: str) -> None:
-        change = self.next_group
-        if change is None or groups.group_key(change.generation) != key:
+        if not self._groups.finish_change(key):
             return
-        self.group, self.next_group = change, None
         # A replica that holds a group without the one before it says that it is in force.
-        old = [each for each in self.entries if each.startswith(groups.GROUP_PREFIX)]
-        for each in old:
+        for each in self._replication.keys_with(GROUP_PREFIX):
             if each < key:
                 self.drop(each)
         self._leave_others()
 
     def _leave_others(self) -> None:
         """Send nothing more to replicas that no longer belong to the group."""
-        names = {member.name for member in self.group.members}
+        names = self._groups.names()
         self.admitted.clear()
         for follower in self.followers.values():
             if follower.member.name not in names:
-                follower.is_synced = False
-                follower.is_asked = False
-                follower.keys = None
-                follower.acked = -1
+                follower.leave()
 
-    def _try_lead(self, now: float) -> None:
-        """Lead once everything is written, and only with a lease that still lasts.
-
-        Reading the log may take longer than the lease that its promises gave. Where it has
-        ended, the heartbeats that are under way renew it.
-        """
-        if self.phase is Phase.REWRITING and not self._pending and now < self.lease_until():
-            self._lead()
-
-    def _lead(self) -> None:
-        if self.next_group is not None:
-            # Nothing of the newer group needed writing again, so it is in force.
-            self._finish_change(groups.group_key(self.next_group.generation))
-        self.phase = Phase.LEADING
-        entries = tuple(
-            entry
-            for key, entry in self.entries.items()
-            if not key.startswith((groups.GROUP_PREFIX, HOLDER_PREFIX, ORDER_PREFIX))
-        )
-        orders = last_orders(self._noted_at, self._notes(), self._advanced_at)
-        holder = holder_of(self.entries.values())
-        self._out.append(Won(self.epoch, entries, holder, orders, tuple(self.deferred.epochs)))
-
-    def _notes(self) -> list[str]:
-        return [key for key in self.entries if key.startswith(ORDER_PREFIX)]
+    # Orders to engines
 
     def note_order(self, engine: str) -> str:
         """Write that this leader is about to order an engine; return the key of the note.
@@ -648,17 +489,14 @@
         The order may be given once the note is committed. The notes of earlier orders to the
         same engine are over then, see `drop_older_notes`.
         """
-        self._order_number += 1
-        note = OrderNote(self.epoch, self._order_number, engine, self._name)
+        note = self._notes.next_note(self.epoch, engine, self._name)
         self.put(note.key, b"")
         return note.key
 
     def drop_older_notes(self, key: str) -> None:
         """Remove the notes of an engine before one that is committed."""
-        engine = parse_note(key).engine
-        for each in self._notes():
-            if each < key and parse_note(each).engine == engine:
-                self.drop(each)
+        for each in older_notes(key, self.entries):
+            self.drop(each)
 
     def claim_orders(self) -> str:
         """Claim the right to order engines; return the key whose commit grants it."""
@@ -668,28 +506,5 @@
 
     def drop_older_claims(self, key: str) -> None:
         """Remove the claims before one that is committed."""
-        for each in [each for each in self.entries if each.startswith(HOLDER_PREFIX)]:
-            if each < key:
-                self.drop(each)
-
-    def _lease_of(self, group: Group) -> float:
-        members = groups.disks(group)
-        times = sorted(
-            (
-                follower.lease_from
-                for follower in self.followers.values()
-                if follower.disk in members and follower.is_synced
-            ),
-            reverse=True,
-        )
-        needed = groups.write_quorum(len(members))
-        needed = max(1, min(needed, len(members - self.lost_disks)))
-        if len(times) < needed:
-            return float("-inf")
-        return times[needed - 1] + LEASE_SECONDS - LEASE_MARGIN_SECONDS
-
-    def _note_lost_disk(self, member: GroupMember) -> None:
-        for each in self._voting_groups():
-            known = groups.member_named(each, member.name)
-            if known is not None and known.disk != member.disk:
-                self.lost_disks.add(known.disk)
+        for each in older_claims(key, self.entries):
+            self.drop(each)
--- a/src/pondtiller/steplog/order_notes.py
+++ b/src/pondtiller/steplog/order_notes.py
@@ -12,6 +12,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
+from pondtiller.wire.steplog import OrderAge
+
 ORDER_PREFIX = "order/"
 
 
@@ -77,3 +79,36 @@
         note = parse_note(key)
         found[note.engine] = LastOrder(note.daemon, noted_at.get(key, latest))
     return found
+
+
+class OrderNotes:
+    """What a candidate learnt of the notes' ages, and the numbers of its own; for one term."""
+
+    def __init__(self) -> None:
+        self._noted_at: dict[str, float] = {}
+        self._last_number = 0
+
+    def learn(self, ages: Iterable[OrderAge], now: float) -> None:
+        """Take how long a replica has held notes of orders; the youngest copy counts."""
+        for order in ages:
+            at = now - order.milliseconds / 1000.0
+            self._noted_at[order.key] = max(at, self._noted_at.get(order.key, at))
+
+    def last_orders(self, keys: Iterable[str], latest: float) -> dict[str, LastOrder]:
+        """Return the last order of each engine, as `last_orders` does."""
+        return last_orders(self._noted_at, keys, latest)
+
+    def next_note(self, epoch: int, engine: str, daemon: str) -> OrderNote:
+        """Return a new note of this term."""
+        self._last_number += 1
+        return OrderNote(epoch, self._last_number, engine, daemon)
+
+
+def older_notes(key: str, keys: Iterable[str]) -> list[str]:
+    """Return the notes among some keys that are of the same engine as one, and older."""
+    engine = parse_note(key).engine
+    return [
+        each
+        for each in keys
+        if each.startswith(ORDER_PREFIX) and each < key and parse_note(each).engine == engine
+    ]
