--- a/src/pondtiller/gateway/leader/duties.py
+++ b/src/pondtiller/gateway/leader/duties.py
@@ -2,7 +2,6 @@
 
 from betterproto import Message
 
-from pondtiller.gateway.leader.leadership import Duties
 from pondtiller.gateway.leader.term import DutyParts, Term
 from pondtiller.process import clock
 from pondtiller.rollouts.steps import StepStatus
@@ -25,7 +24,7 @@
 )
 
 
-class LeaderDuties(Duties):
+class LeaderDuties:
     """The duties of one term; between terms there is nothing.
 
     Attributes
--- a/src/pondtiller/gateway/leader/first_group.py
+++ b/src/pondtiller/gateway/leader/first_group.py
@@ -1,6 +1,5 @@
 """The first group of replicas, agreed through the store."""
 
-from pondtiller.gateway.leader.leadership import FirstGroupSource
 from pondtiller.platform import names, objects
 from pondtiller.platform.object_client import ObjectClient, PutOutcome, StoreCallError
 from pondtiller.process import clock, logs
@@ -16,7 +15,7 @@
 """Of a first group: with fewer the loss of one disk could lose what was accepted."""
 
 
-class StoredFirstGroup(FirstGroupSource):
+class StoredFirstGroup:
     """The first group as an object that is made once: whoever makes it, all take it.
 
     Where there are fewer replicas than the settings' losses need, the group is made of all that
--- /dev/null
+++ b/src/pondtiller/gateway/tests/no_first_group.py
@@ -0,0 +1,10 @@
+"""A source of the first group for tests in which replicas have a group already."""
+
+from pondtiller.wire.steplog import Group, GroupMember
+
+
+class NoFirstGroup:
+    """Is never to be asked."""
+
+    async def first_group(self, candidates: tuple[GroupMember, ...]) -> Group | None:
+        raise AssertionError("a first group is asked for where there is a group")
--- a/src/pondtiller/gateway/tests/test_distances.py
+++ b/src/pondtiller/gateway/tests/test_distances.py
@@ -13,13 +13,11 @@
 from pondtiller.gateway.callers.race import ForwardedRequest
 from pondtiller.gateway.callers.tries import WholeAnswer
 from pondtiller.gateway.engines.engine_pool import EnginePool, SilentEngineError
-from pondtiller.gateway.leader.leadership import (
-    NO_QUORUM_IN_REGION_SECONDS,
-    FirstGroupSource,
-    Leadership,
-)
+from pondtiller.gateway.leader.leadership import Leadership
+from pondtiller.gateway.leader.standing import NO_QUORUM_IN_REGION_SECONDS
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.gateway.runs.sample_runner import SampleRunner, ScoreOutcome
+from pondtiller.gateway.tests.no_first_group import NoFirstGroup
 from pondtiller.process import clock
 from pondtiller.rollouts.sample_work import ScoreEnd
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
@@ -151,7 +149,7 @@
 def leadership(zone: str, *members: str) -> Leadership:
     rules = PlaceRules(Tolerance(machines=1), PLACES)
     place = Address("127.0.0.1", 1)
-    made = Leadership("me", place, 4.0, 3, FirstGroupSource(), GatewayMetrics(), zone, rules)
+    made = Leadership("me", place, 4.0, 3, NoFirstGroup(), GatewayMetrics(), zone, rules)
     made._random = random.Random(5)
     made.replicas.group = Group(generation=1, members=[member(each) for each in members])
     return made
@@ -176,15 +174,15 @@
 def test_a_leader_tells_when_its_group_begins_and_ceases_to_bear_the_losses() -> None:
     leader = leadership("s1", "s1", "s2", "n1")
     leader.log.group = leader.replicas.group
-    leader._note_shortfall(10.0)
+    leader.group_upkeep.note_shortfall(10.0)
     assert leader.shortfall == 0
-    leader._missing_since["s1"] = 10.0
-    leader._note_shortfall(10.9)
+    leader.group_upkeep._missing_since["s1"] = 10.0
+    leader.group_upkeep.note_shortfall(10.9)
     assert leader.shortfall == 0
-    leader._note_shortfall(11.1)
+    leader.group_upkeep.note_shortfall(11.1)
     assert leader.shortfall == 1
-    leader._missing_since.clear()
-    leader._note_shortfall(11.2)
+    leader.group_upkeep._missing_since.clear()
+    leader.group_upkeep.note_shortfall(11.2)
     assert leader.shortfall == 0
 
 
--- a/src/pondtiller/gateway/tests/test_leadership.py
+++ b/src/pondtiller/gateway/tests/test_leadership.py
@@ -3,8 +3,9 @@
 import curio
 
 from pondtiller.address import Address
-from pondtiller.gateway.leader.leadership import FirstGroupSource, Leadership
+from pondtiller.gateway.leader.leadership import Leadership
 from pondtiller.gateway.metrics import GatewayMetrics
+from pondtiller.gateway.tests.no_first_group import NoFirstGroup
 from pondtiller.peers.replicas import LeaderPlace
 from pondtiller.process import clock
 from pondtiller.steplog.instructions import Deposed, Phase, StandDown
@@ -19,7 +20,7 @@
 
     def __init__(self, cores: float = 4.0) -> None:
         place = Address("127.0.0.1", 1)
-        source = FirstGroupSource()
+        source = NoFirstGroup()
         self.leadership = Leadership("me", place, cores, 3, source, GatewayMetrics())
         self.leadership.may_stand = True
         self.leader: LeaderPlace | None = None
