--- a/src/pondtiller/gateway/leader/duties.py
+++ b/src/pondtiller/gateway/leader/duties.py
@@ -2,7 +2,8 @@
 
 from betterproto import Message
 
-from pondtiller.gateway.leader.term import DutyParts, Term
+from pondtiller.gateway.leader.duty_parts import DutyParts
+from pondtiller.gateway.leader.term import Term
 from pondtiller.process import clock
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.steplog.entry import Entry
@@ -64,7 +65,7 @@
         term, self.term = self.term, None
         if term is not None:
             if reason == StandDown.LEASE_ENDED:
-                await term.hand_over_texts()
+                await term.texts.hand_over()
             await term.stop()
 
     def retiring(self) -> frozenset[str]:
@@ -109,7 +110,7 @@
     async def save_progress(self) -> None:
         """Leave unfinished texts at the replicas, for a successor."""
         if self.term is not None:
-            await self.term.save_progress(is_last=True)
+            await self.term.texts.save(is_last=True)
 
 
 def _unavailable(message: Message) -> Message:
--- a/src/pondtiller/gateway/leader/leader_watches.py
+++ b/src/pondtiller/gateway/leader/leader_watches.py
@@ -1,7 +1,6 @@
 """What a leader follows in the store: named versions, retirements and new replicas."""
 
 from collections.abc import Callable
-from typing import Any
 
 import curio
 
@@ -50,7 +49,7 @@
         """Return the names of replicas that are to be emptied, or are."""
         return frozenset(self._retirements)
 
-    async def run(self, steward: VersionSteward, wake: Any) -> None:
+    async def run(self, steward: VersionSteward, wake: curio.Event) -> None:
         """Follow until cancelled."""
 
         async def take_version(found: StoreObject) -> None:
--- a/src/pondtiller/gateway/leader/order_rights.py
+++ b/src/pondtiller/gateway/leader/order_rights.py
@@ -3,8 +3,6 @@
 A successor waits for the orders that another daemon may have given lately, and for no others.
 """
 
-from typing import Any
-
 import curio
 
 from pondtiller.gateway.engines.orders import ORDER_SECONDS
@@ -45,7 +43,7 @@
         self._held_before = won.order_holder == leadership.name
         self._last_orders = won.last_orders
         self._claim_key = ""
-        self._notes: dict[str, Any] = {}
+        self._notes: dict[str, curio.Event] = {}
         self._good_until: dict[str, float] = {}
 
     def claim(self) -> None:
--- a/src/pondtiller/gateway/leader/run_links.py
+++ b/src/pondtiller/gateway/leader/run_links.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Protocol
 
 import curio
 from betterproto import Message
@@ -65,7 +65,7 @@
 class RemoteScore:
     """A text that is judged at the runner that made it whole."""
 
-    done: Any = field(default_factory=curio.Event)
+    done: curio.Event = field(default_factory=curio.Event)
     outcome: ScoreOutcome = SCORE_LOST
 
 
@@ -82,7 +82,7 @@
     """
 
     take: EventSink
-    done: Any = field(default_factory=curio.Event)
+    done: curio.Event = field(default_factory=curio.Event)
     outcome: RunOutcome = RUNNER_LOST
     dropped_at: float | None = None
     dropped_for: str = ""
--- /dev/null
+++ b/src/pondtiller/gateway/leader/sample_runs.py
@@ -0,0 +1,210 @@
+"""Runs and scores of samples that this leader has begun: carries out what the scheduler decides.
+
+Owns the tasks of runs and where each run goes on; they end with the term. On which engine a sample
+runs, and when it is moved, is decided by the scheduler (`rollouts/samples.py`); which gateway holds
+the stream, by `run_links.py`.
+"""
+
+from dataclasses import dataclass
+
+import curio
+
+from pondtiller.address import Address
+from pondtiller.gateway.leader.run_links import RUNNER_LOST, Runner, RunnerDirectory, RunnerLink
+from pondtiller.gateway.leader.run_offers import RunOffers
+from pondtiller.gateway.leader.scaling_duty import ScalingDuty
+from pondtiller.gateway.metrics import GatewayMetrics
+from pondtiller.gateway.runs.sample_runner import RunOrder, RunOutcome
+from pondtiller.process import clock, logs
+from pondtiller.process.spawner import Spawner
+from pondtiller.rollouts.sample_work import (
+    CancelRun,
+    RunEnd,
+    SampleWork,
+    ScoreEnd,
+    ScoreText,
+    StartRun,
+)
+from pondtiller.rollouts.samples import SampleScheduler
+from pondtiller.routes.cold import ColdEngines
+from pondtiller.routes.engines import Engine, EngineDirectory
+from pondtiller.routes.send_gate import Held
+from pondtiller.routes.tenants import owned_name
+
+SCORE_RETRY_SECONDS = 0.1
+"""Between a score that failed and the next try. Chosen, not measured: a scorer that is out of order
+is asked ten times a second and sample at most, and a sound one is found at once."""
+
+
+@dataclass(frozen=True, slots=True)
+class RunParts:
+    """What runs of one term work with.
+
+    Attributes
+    ----------
+    tasks
+        Where runs and scores are tasks of.
+    wake
+        Set once something is to be decided.
+    scaling
+        Told how long whole runs took; None where no engines are ordered.
+    """
+
+    epoch: int
+    engines: EngineDirectory
+    scheduler: SampleScheduler
+    runners: RunnerDirectory
+    offers: RunOffers
+    metrics: GatewayMetrics
+    tasks: Spawner
+    wake: curio.Event
+    cold: ColdEngines | None
+    scaling: ScalingDuty | None
+
+
+class SampleRuns:
+    """The runs of one term, by their numbers."""
+
+    def __init__(self, parts: RunParts) -> None:
+        self._parts = parts
+        self._scheduler = parts.scheduler
+        self._tasks: dict[int, curio.Task] = {}
+        self._runner_of: dict[int, RunnerLink] = {}
+
+    async def start(self, start: StartRun) -> None:
+        """Begin a run, or go on with one that is taken over."""
+        self._parts.metrics.runs_started += 1
+        self._tasks[start.run] = await self._parts.tasks.spawn(self._run, start)
+
+    async def score(self, order: ScoreText) -> None:
+        """Begin to have a text judged."""
+        await self._parts.tasks.spawn(self._score, order)
+
+    async def cancel(self, order: CancelRun) -> None:
+        """End a run that is wanted no more."""
+        runner = self._runner_of.get(order.run)
+        if runner is None or not await runner.drop(order.run):
+            await self._end_own(order.run)
+        logs.decision(
+            "sample_run_cancelled",
+            sample=order.sample,
+            engine=order.engine,
+            run=order.run,
+            reason=order.reason.value,
+            epoch=self._parts.epoch,
+        )
+
+    async def end_all(self) -> None:
+        """End all runs without waiting for their ends."""
+        for task in list(self._tasks.values()):
+            await task.cancel(blocking=False)
+
+    async def _end_own(self, run: int) -> None:
+        """End a run that this gateway has, or that no runner has begun."""
+        task = self._tasks.pop(run, None)
+        if task is not None:
+            await task.cancel()
+        self._runner_of.pop(run, None)
+        self._scheduler.run_is_over(run)
+
+    async def _run(self, start: StartRun) -> None:
+        work = self._scheduler.runs.get(start.run)
+        engine = self._parts.engines.engines.get(start.engine)
+        if work is None:
+            return
+        name, runner = self._parts.offers.runner_of(start)
+        self._log_start(start, work, name)
+        began = clock.monotonic()
+        outcome = await self._outcome(start, engine, runner)
+        self._tasks.pop(start.run, None)
+        self._runner_of.pop(start.run, None)
+        if outcome.end is not RunEnd.WHOLE:
+            self._parts.offers.take_runner(start.run)
+        is_measured = outcome.end is RunEnd.WHOLE and not start.last_event and not start.runner
+        if self._parts.scaling is not None and is_measured:
+            self._parts.scaling.note_run(work, clock.monotonic() - began)
+        self._scheduler.run_ended(start.run, outcome.end, clock.monotonic())
+        if engine is not None and outcome.detail == Held.EVACUATED.value:
+            engine.note_evacuated(clock.monotonic())
+        logs.decision(
+            "sample_run_ended",
+            sample=start.sample.id,
+            step=work.step_id,
+            engine=start.engine,
+            runner=name,
+            run=start.run,
+            events=work.text.last_event,
+            seconds=clock.monotonic() - began,
+            outcome=outcome.end.value,
+            detail=outcome.detail,
+        )
+        await self._parts.wake.set()
+
+    def _log_start(self, start: StartRun, work: SampleWork, runner: str) -> None:
+        logs.decision(
+            "sample_started",
+            sample=start.sample.id,
+            step=work.step_id,
+            engine=start.engine,
+            runner=runner,
+            run=start.run,
+            after_event=start.last_event,
+            taken_over=bool(start.runner),
+            epoch=self._parts.epoch,
+        )
+
+    async def _outcome(
+        self, start: StartRun, engine: Engine | None, runner: Runner | None
+    ) -> RunOutcome:
+        """Have a runner carry out a run; return how it ended."""
+        if runner is None:
+            return RUNNER_LOST
+        if engine is None:
+            return RunOutcome(RunEnd.REFUSED, "gone")
+        cold = self._parts.cold
+        is_cold = cold is not None and cold.is_cold(engine, clock.monotonic())
+        order = run_order(start, engine.entry.address, is_cold)
+        if isinstance(runner, RunnerLink):
+            self._runner_of[start.run] = runner
+        return await runner.run(order, self._scheduler.run_event)
+
+    async def _score(self, order: ScoreText) -> None:
+        sample = order.sample
+        name, runner = self._parts.runners.runner_for(order.engine)
+        own = self._parts.offers.take_runner(order.run)
+        if own is not None:
+            name, runner = own.daemon.name, own
+        outcome = await runner.score(order.run, sample.content)
+        if outcome.end is not ScoreEnd.SCORED:
+            logs.decision(
+                "scorer_failed",
+                sample=sample.id,
+                step=order.step,
+                request=outcome.request,
+                runner=name,
+                outcome=outcome.end.value,
+                detail=outcome.detail,
+            )
+            await curio.sleep(SCORE_RETRY_SECONDS)
+        self._scheduler.scored(order.step, sample.id, outcome.end, outcome.score, outcome.attempts)
+        # The next tick writes it: one message to each replica holds all results until then.
+        await self._parts.wake.set()
+
+
+def run_order(start: StartRun, address: Address, is_cold: bool) -> RunOrder:
+    """Return what a runner needs to carry out a run."""
+    return RunOrder(
+        start.run,
+        start.engine,
+        address,
+        start.host,
+        start.route.priority,
+        start.last_event,
+        start.expected_version,
+        start.sample.content,
+        start.tenant,
+        is_cold,
+        owned_name(start.tenant, start.sample.id),
+        start.held,
+        start.text_by,
+    )
--- /dev/null
+++ b/src/pondtiller/gateway/leader/step_waiters.py
@@ -0,0 +1,60 @@
+"""Calls of trainers that wait for a write or for results, by step.
+
+Owns the calls that wait; they end with the term. What they wait for is in the step book.
+"""
+
+from collections.abc import Callable
+
+import curio
+
+from pondtiller.process import clock
+
+
+class StepWaiters:
+    """Calls that wait in one term.
+
+    Attributes
+    ----------
+    is_over
+        Whether the term has ended: nothing is waited for any more.
+    """
+
+    def __init__(self) -> None:
+        self.is_over = False
+        self._waiters: dict[str, set[curio.Event]] = {}
+
+    async def until(self, step: str, is_true: Callable[[], bool], seconds: float) -> bool:
+        """Wait until something holds of a step; return whether it does.
+
+        Parameters
+        ----------
+        seconds
+            How long to wait at most.
+        """
+        give_up = clock.monotonic() + seconds
+        waiter = curio.Event()
+        waiters = self._waiters.setdefault(step, set())
+        waiters.add(waiter)
+        try:
+            while not is_true() and not self.is_over:
+                left = give_up - clock.monotonic()
+                if left <= 0:
+                    break
+                waiter.clear()
+                await curio.ignore_after(left, waiter.wait)
+            return is_true()
+        finally:
+            waiters.discard(waiter)
+            if not waiters:
+                self._waiters.pop(step, None)
+
+    async def wake(self, step: str) -> None:
+        """Have the calls of a step look again."""
+        for waiter in list(self._waiters.get(step, ())):
+            await waiter.set()
+
+    async def wake_all(self) -> None:
+        """Have all calls look again."""
+        for waiters in self._waiters.values():
+            for waiter in waiters:
+                await waiter.set()
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -16,6 +16,7 @@
 from pondtiller.gateway.engines.suspect_sharing import SuspectSharing
 from pondtiller.gateway.engines.suspects import SuspectContents
 from pondtiller.gateway.leader.duties import LeaderDuties
+from pondtiller.gateway.leader.duty_parts import DutyParts
 from pondtiller.gateway.leader.duty_settings import (
     operator_client,
     scaling_settings,
@@ -24,7 +25,6 @@
 from pondtiller.gateway.leader.first_group import StoredFirstGroup
 from pondtiller.gateway.leader.leader_watches import LeaderWatches
 from pondtiller.gateway.leader.leadership import Leadership
-from pondtiller.gateway.leader.term import DutyParts
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.gateway.pages.figure_sources import FigureSources
 from pondtiller.gateway.runs.held_runs import HeldRuns
--- a/src/pondtiller/gateway/tests/test_held_runs.py
+++ b/src/pondtiller/gateway/tests/test_held_runs.py
@@ -1,6 +1,6 @@
 """Runs go on when their leader is lost, and never at two engines for longer than 0.4 s."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from pathlib import Path
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 from pondtiller.gateway.leader import run_offers
 from pondtiller.gateway.leader.run_links import RUNNER_LOST, RunnerLink
-from pondtiller.gateway.leader.term import Term
+from pondtiller.gateway.leader.unfinished_texts import UnfinishedTexts
 from pondtiller.gateway.process import GatewayProcess
 from pondtiller.gateway.runs import held_runs
 from pondtiller.gateway.runs.held_runs import HeldRuns
@@ -134,13 +134,13 @@
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
     monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", 0.0)
     monkeypatch.setattr(run_offers, "COME_AGAIN_SECONDS", 1.0)
-    usual = Term._read_progress
+    usual = UnfinishedTexts.read
 
-    async def slowly(read: Term) -> None:
-        await usual(read)
+    async def slowly(unfinished: UnfinishedTexts, samples: Iterable[str]) -> None:
+        await usual(unfinished, samples)
         await curio.sleep(0.5)
 
-    monkeypatch.setattr(Term, "_read_progress", slowly)
+    monkeypatch.setattr(UnfinishedTexts, "read", slowly)
 
     async def test(system: System) -> None:
         leader, working = await running(system)
--- a/src/pondtiller/gateway/tests/test_runs_elsewhere.py
+++ b/src/pondtiller/gateway/tests/test_runs_elsewhere.py
@@ -9,8 +9,7 @@
 from betterproto import Message
 
 from pondtiller.address import Address
-from pondtiller.gateway.leader import run_links
-from pondtiller.gateway.leader import term as terms
+from pondtiller.gateway.leader import run_links, unfinished_texts
 from pondtiller.gateway.leader.run_links import RUNNER_SILENT_SECONDS, RunnerLink
 from pondtiller.gateway.process import GatewayProcess
 from pondtiller.gateway.runs import run_host
@@ -102,7 +101,7 @@
     No run is held for the successor here: this is the way of those whose runner is lost too.
     """
     if not is_on:
-        monkeypatch.setattr(terms, "MOST_BEARERS", 0)
+        monkeypatch.setattr(unfinished_texts, "MOST_BEARERS", 0)
     monkeypatch.setattr(run_holding, "LONGEST_SECONDS", 0.0)
 
     async def unheard(*_given: object) -> None:
@@ -134,8 +133,8 @@
 ) -> None:
     waits = Waits()
     # On a clock of its own: the term's other tasks go on meanwhile, and read the usual one.
-    names = {**vars(terms), "clock": waits, "curio": waits}
-    hand_over = FunctionType(terms.Term.hand_over_texts.__code__, names)
+    names = {**vars(unfinished_texts), "clock": waits, "curio": waits}
+    hand_over = FunctionType(unfinished_texts.UnfinishedTexts.hand_over.__code__, names)
 
     async def test(system: System) -> None:
         leader = await connected(system, 2)
@@ -144,14 +143,14 @@
             engine.events, engine.event_seconds = 60, 0.05
         assert await system.submit("s1", samples=4) == 202
         await system.until(lambda: any(each.text.events for each in term.scheduler.work.values()))
-        bearers = term.runners.bearers(terms.MOST_BEARERS)
+        bearers = term.runners.bearers(unfinished_texts.MOST_BEARERS)
         assert len(bearers) == 2
         for link in bearers:
             push, link._push = link._push, lambda: None
             if takes:
                 await curio.spawn(_take_later, link, push, daemon=True)
-        await hand_over(term)
-        assert waits.seconds < terms.HAND_OVER_SECONDS * 1.2
+        await hand_over(term.texts)
+        assert waits.seconds < unfinished_texts.HAND_OVER_SECONDS * 1.2
         assert all(each.has_unsent is not takes for each in bearers)
 
     run_system(tmp_path, test, gateways=3)
--- a/src/pondtiller/gateway/tests/test_term_start.py
+++ b/src/pondtiller/gateway/tests/test_term_start.py
@@ -1,24 +1,25 @@
 """The first second of a term: what does not need earlier texts does not wait for them."""
 
+from collections.abc import Iterable
 from pathlib import Path
 
 import curio
 import pytest
 
-from pondtiller.gateway.leader.term import Term
+from pondtiller.gateway.leader.unfinished_texts import UnfinishedTexts
 from pondtiller.gateway.tests.system import System, run_system
 
 SLOW_SECONDS = 1.5
 
 
 def read_texts_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
-    usual = Term._read_progress
+    usual = UnfinishedTexts.read
 
-    async def slowly(term: Term) -> None:
+    async def slowly(texts: UnfinishedTexts, samples: Iterable[str]) -> None:
         await curio.sleep(SLOW_SECONDS)
-        await usual(term)
+        await usual(texts, samples)
 
-    monkeypatch.setattr(Term, "_read_progress", slowly)
+    monkeypatch.setattr(UnfinishedTexts, "read", slowly)
 
 
 def test_engines_are_ordered_and_runners_found_while_texts_are_read(
--- a/src/pondtiller/peers/share_asker.py
+++ b/src/pondtiller/peers/share_asker.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import curio
 
@@ -42,7 +41,7 @@
         self._sequence = 0
         self._held: dict[str, HeldRate] = {}
         self._wake = curio.Event()
-        self._changed: Any = curio.Event()
+        self._changed = curio.Event()
 
     def held(self, subject: str, terms: RateTerms) -> HeldRate:
         """Return what is held of a rate, which is now as given."""
