--- a/src/pondtiller/gateway/leader/duties.py
+++ b/src/pondtiller/gateway/leader/duties.py
@@ -1,4 +1,8 @@
-"""What a daemon does when it leads, and how its terms begin and end."""
+"""What a gateway does when it leads, and how its terms begin and end.
+
+Owns the present term. Calls are answered only while the lease lasts; the work itself is in
+`term.py`.
+"""
 
 from betterproto import Message
 
@@ -31,7 +35,7 @@
     Attributes
     ----------
     term
-        The present term; None while this daemon does not lead.
+        The present term; None while this gateway does not lead.
     """
 
     def __init__(self, parts: DutyParts) -> None:
@@ -73,7 +77,7 @@
         return self._parts.watches.retiring()
 
     async def answer(self, message: Message) -> Message:
-        """Answer a step call; unavailable where this daemon does not lead."""
+        """Answer a step call; unavailable where this gateway does not lead."""
         log = self._parts.leadership.log
         if self.term is None or not log.holds_lease(clock.monotonic()):
             return _unavailable(message)
--- a/src/pondtiller/gateway/leader/first_group.py
+++ b/src/pondtiller/gateway/leader/first_group.py
@@ -1,4 +1,8 @@
-"""The first group of replicas, agreed through the store."""
+"""The first group of replicas, agreed through the store, once for the whole system.
+
+Owns how many replicas were seen and since when. Which of them become members is decided in
+`steplog/group_policy.py`.
+"""
 
 from pondtiller.platform import names, objects
 from pondtiller.platform.object_client import ObjectClient, PutOutcome, StoreCallError
--- a/src/pondtiller/gateway/leader/leader_watches.py
+++ b/src/pondtiller/gateway/leader/leader_watches.py
@@ -1,4 +1,8 @@
-"""What a leader follows in the store: named versions, retirements and new replicas."""
+"""What a leader follows in the store: named versions, retirements and new replicas.
+
+Owns the retirements that it has read. What follows from them is decided in
+`steplog/group_policy.py`, from versions in `rollouts/versions.py`.
+"""
 
 from collections.abc import Callable
 
--- a/src/pondtiller/gateway/leader/order_rights.py
+++ b/src/pondtiller/gateway/leader/order_rights.py
@@ -1,22 +1,28 @@
 """The right to order engines: claimed once a term, and a note in the log before each order.
 
-A successor waits for the orders that another daemon may have given lately, and for no others.
+A successor waits for the orders that another gateway may have given lately, and for no others.
+Owns the notes under way and until when each is good, for one term; the notes themselves are in the
+step log, and the rules in `order_waits.py`. Which engine loads which version is decided in
+`rollouts/versions.py`.
 """
 
 import curio
 
 from pondtiller.gateway.engines.orders import ORDER_SECONDS
 from pondtiller.gateway.leader.leadership import Leadership
+from pondtiller.gateway.leader.order_waits import (
+    NOTE_SECONDS,
+    OrderRight,
+    engine_waits,
+    free_from,
+    may_leave,
+    pause_after_others,
+)
 from pondtiller.process import clock, logs
 from pondtiller.rollouts.versions import VersionSteward
 from pondtiller.routes.engines import EngineDirectory
 from pondtiller.steplog.instructions import Won
 
-NOTE_SECONDS = 0.5
-"""An order that is not given this soon after its note was written is not given at all."""
-ORDER_MARGIN_SECONDS = NOTE_SECONDS + ORDER_SECONDS + 0.1
-"""How long after its note an order may arrive, at most."""
-
 
 class OrderRights:
     """When one term's leader may order which engine.
@@ -47,17 +53,14 @@
         self._good_until: dict[str, float] = {}
 
     def claim(self) -> None:
-        """Begin to order engines: those that another daemon ordered lately wait for that order.
+        """Begin to order engines: those that another gateway ordered lately wait for that order.
 
         The claim tells who leads best next time; safety comes from the notes.
         """
         now = clock.monotonic()
-        pause = self._lease_seconds + ORDER_MARGIN_SECONDS
-        waits = self._steward.waits = {
-            place: last.at + pause
-            for place, last in self._last_orders.items()
-            if last.daemon != self._leadership.name
-        }
+        pause = pause_after_others(self._lease_seconds, ORDER_SECONDS)
+        waits = engine_waits(self._last_orders, self._leadership.name, pause)
+        self._steward.waits = waits
         if self._held_before:
             self._steward.may_order_from = now
         else:
@@ -93,11 +96,8 @@
         return engine is not None and await self.note_subject(engine.place)
 
     def free_from(self, subject: str, pause: float) -> float:
-        """Return when this daemon may act on a subject: `pause` after another's last note."""
-        last = self._last_orders.get(subject)
-        if last is None or last.daemon == self._leadership.name:
-            return float("-inf")
-        return last.at + pause
+        """Return when this gateway may act on a subject: `pause` after another's last note."""
+        return free_from(self._last_orders.get(subject), self._leadership.name, pause)
 
     async def note_subject(self, subject: str) -> bool:
         """Write that a subject is about to be acted on, as `note` does for an engine's place."""
@@ -121,8 +121,8 @@
         Asked again right before a call leaves: this machine may have been suspended since.
         """
         now = clock.monotonic()
-        is_noted = now < self._good_until.get(subject, float("-inf"))
-        return is_noted and self._leadership.log.holds_lease(now)
+        good_until = self._good_until.get(subject, float("-inf"))
+        return may_leave(OrderRight(good_until, self._leadership.log.holds_lease(now)), now)
 
     def may_order(self, identifier: str) -> bool:
         """Return whether the note on an engine still covers an order that leaves now."""
--- a/src/pondtiller/gateway/leader/rate_duty.py
+++ b/src/pondtiller/gateway/leader/rate_duty.py
@@ -1,4 +1,8 @@
-"""The leader's part in rates that all daemons hold together: grants shares to those who ask."""
+"""The leader's part in rates that all gateways hold together: grants shares to those who ask.
+
+Owns the shares granted in one term. How large a share is, is decided in
+`coordination/rate_grants.py`.
+"""
 
 from collections.abc import Callable
 
@@ -10,7 +14,7 @@
 from pondtiller.wire.steplog import AskShares, SharesGranted
 
 LONGEST_LEASE_SECONDS = 10.0
-"""Longer than that of any rate."""
+"""Of a rate that the table does not name: longer than that of any rate. Chosen, not measured."""
 
 FindTerms = Callable[[str], RateTerms | None]
 """Takes a rate's subject; None where there is no such rate, of which nothing is granted."""
@@ -38,13 +42,13 @@
         self._grantor = RateGrantor(clock.monotonic())
 
     def take(self, message: AskShares, now: float) -> SharesGranted:
-        """Take a daemon's wishes; those meant for another leader, or overtaken, are not taken.
+        """Take a gateway's wishes; those meant for another leader, or overtaken, are not taken.
 
         Parameters
         ----------
         now
             When the lease was looked at: what is granted is granted as of then, however long this
-            daemon stands still in between.
+            gateway stands still in between.
         """
         holder = HolderKey(message.daemon, message.incarnation)
         columns = (message.subjects, message.wanted, message.holding, message.holding_of)
--- a/src/pondtiller/gateway/leader/run_links.py
+++ b/src/pondtiller/gateway/leader/run_links.py
@@ -1,17 +1,20 @@
-"""A leader's links to the daemons that run its samples."""
+"""A leader's link to one gateway that runs samples for it.
 
-from collections.abc import Awaitable, Callable
+Owns the runs and scores that go on there; they end with the link, and the gateway holds what it has
+for a successor. Which gateways are linked to, and which serves an engine, is decided in
+`runner_directory.py`; the gateway's side is `gateway/runs/run_host.py`.
+"""
+
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from typing import Protocol
 
 import curio
 from betterproto import Message
 
-from pondtiller.address import Address
 from pondtiller.gateway.runs.sample_runner import EventSink, RunOrder, RunOutcome, ScoreOutcome
-from pondtiller.links.link import Link, LinkLostError, connect
+from pondtiller.links.link import Link, LinkLostError
 from pondtiller.process import clock, logs
-from pondtiller.process.spawner import Spawner
 from pondtiller.rollouts.run_news import (
     EndedRun,
     ScoredRun,
@@ -19,15 +22,12 @@
     read_events,
     read_scores,
 )
-from pondtiller.rollouts.runner_choice import Daemon, EngineRunners, wanted_runners
+from pondtiller.rollouts.runner_choice import Daemon
 from pondtiller.rollouts.sample_work import RunEnd, ScoreEnd
-from pondtiller.routes.engines import EngineDirectory
 from pondtiller.wire.steplog import (
     BeginRun,
-    DaemonList,
     DropRun,
     KeepRuns,
-    ReadDaemons,
     RunNews,
     ScoreAnswer,
     ScoreSample,
@@ -39,10 +39,6 @@
 """A runner with runs tells something each `NEWS_SECONDS`, the last time up to so long before a cut.
 It ends its runs 1.0 s to 1.2 s after the cut (`LEADER_SILENT_SECONDS` and the replicas' answer), so
 they go on for 0.35 s at most after the leader has begun them elsewhere."""
-FIND_SECONDS = 1.0
-CONNECT_LOOK_SECONDS = 0.01
-"""How often one who waits for a connection looks; a connection in a zone takes 3 ms."""
-DAEMONS_CALL_SECONDS = 0.5
 SCORE_CALL_SECONDS = 6.0
 """Longer than any scorer is given; a runner that is gone ends the call with its link."""
 RUNNER_LOST = RunOutcome(RunEnd.STALE, "the runner is lost")
@@ -52,7 +48,7 @@
 
 
 class Runner(Protocol):
-    """Carries out runs, here or at another daemon."""
+    """Carries out runs, here or at another gateway."""
 
     async def run(self, order: RunOrder, take: EventSink) -> RunOutcome:
         """Run a sample on an engine; `take` gets each event and says whether to go on."""
@@ -76,7 +72,7 @@
     Attributes
     ----------
     dropped_at
-        When the runner was told to end it, on the steady clock; None while it is wanted.
+        When the runner was asked to end it, on the steady clock; None while it is wanted.
     dropped_for
         Why, for the logs.
     """
@@ -89,12 +85,13 @@
 
 
 class RunnerLink:
-    """One daemon that runs samples for this leader.
+    """One gateway that runs samples for this leader.
 
     Parameters
     ----------
     checked
-        Told the runs of which news came: nothing else of them has happened until now.
+        Called with the numbers of the runs of which news came, and the time: nothing else of them
+        has happened until then.
     """
 
     def __init__(
@@ -227,15 +224,28 @@
         while not self.link.is_lost:
             if self.runs or any(not each.done.is_set() for each in self.scores.values()):
                 await self.link.send(KeepRuns(epoch=self._epoch))
-                if clock.monotonic() > self._silent_since() + RUNNER_SILENT_SECONDS:
+                if is_silent(self._heard_at, self._dropped_at(), clock.monotonic()):
                     logs.decision("runner_silent", runner=self.daemon.name, runs=len(self.runs))
                     await self.link.drop()
             await curio.sleep(KEEP_SECONDS)
 
-    def _silent_since(self) -> float:
-        """Return when the runner was last heard, or was told to end what it has not ended yet."""
-        dropped = [each.dropped_at for each in self.runs.values() if each.dropped_at is not None]
-        return min([self._heard_at, *dropped])
+    def _dropped_at(self) -> list[float]:
+        """Return when the runner was asked to end what it has not ended yet."""
+        return [each.dropped_at for each in self.runs.values() if each.dropped_at is not None]
+
+
+def is_silent(heard_at: float, dropped_at: Iterable[float], now: float) -> bool:
+    """Return whether a runner is given up; its runs are begun elsewhere then.
+
+    Parameters
+    ----------
+    heard_at
+        When it last told anything, in seconds of the steady clock, as all times here.
+    dropped_at
+        When it was asked to end runs that it has not ended yet: it tells of others and still does
+        not do as it is asked.
+    """
+    return now > min([heard_at, *dropped_at]) + RUNNER_SILENT_SECONDS
 
 
 def _begin(order: RunOrder, epoch: int) -> BeginRun:
@@ -258,134 +268,3 @@
         text_epoch=order.text_by.epoch,
         text_run=order.text_by.run,
     )
-
-
-AskMember = Callable[[Message, float], Awaitable[Message | None]]
-
-
-class RunnerDirectory:
-    """Finds daemons that run samples, and keeps links to as many as the engines need.
-
-    Parameters
-    ----------
-    name
-        This daemon, which leads and therefore runs nothing while others do.
-    ask_member
-        Calls a replica of the group; None where none answers.
-    zone
-        Of this daemon.
-    """
-
-    def __init__(
-        self,
-        name: str,
-        epoch: int,
-        engines: EngineDirectory,
-        local: Runner,
-        ask_member: AskMember,
-        checked: Callable[[list[int], float], None],
-        zone: str = "",
-    ) -> None:
-        self.links: dict[str, RunnerLink] = {}
-        self._name = name
-        self._epoch = epoch
-        self._engines = engines
-        self._local = local
-        self._ask_member = ask_member
-        self._checked = checked
-        self._chosen = EngineRunners(engines.places, zone)
-        self._daemons: tuple[Daemon, ...] = ()
-        self._revision = 0
-        self._connecting: set[str] = set()
-        self._group = Spawner()
-
-    def runner_for(self, engine: str) -> tuple[str, Runner]:
-        """Return who serves an engine now, with the name: a connected daemon, else this one."""
-        known = self._engines.engines.get(engine)
-        connected = {
-            name: each.daemon
-            for name, each in self.links.items()
-            if not each.link.is_lost and name != self._name
-        }
-        name = self._chosen.choose(known, connected) if known is not None else None
-        if name is None:
-            return self._name, self._local
-        return name, self.links[name]
-
-    async def connect_to(self, daemon: Daemon) -> RunnerLink | None:
-        """Return the link to a daemon that has runs for this leader; None where there is none.
-
-        This daemon itself may be one: it ran samples for the leader before.
-        """
-        if daemon.name not in self.links and daemon.name not in self._connecting:
-            self._connecting.add(daemon.name)
-            await self._group.spawn(self._connect, daemon)
-        while daemon.name in self._connecting:
-            await curio.sleep(CONNECT_LOOK_SECONDS)
-        found = self.links.get(daemon.name)
-        return found if found is not None and not found.link.is_lost else None
-
-    def bearers(self, most: int) -> list[Link]:
-        """Return the links of some connected daemons, of different zones where there are."""
-        by_zone = {each.daemon.zone: each for each in self.links.values()}
-        ordered = [*by_zone.values(), *self.links.values()]
-        chosen = {each.daemon.name: each.link for each in ordered if not each.link.is_lost}
-        chosen.pop(self._name, None)
-        return list(chosen.values())[:most]
-
-    async def run(self) -> None:
-        """Look for daemons and connect to them, until cancelled."""
-        try:
-            while True:
-                await self._read_daemons()
-                await self._connect_wanted()
-                self._chosen.forget(self._engines.engines)
-                await curio.sleep(FIND_SECONDS)
-        finally:
-            await self._group.__aexit__()
-
-    async def close(self) -> None:
-        """End all links: the runners hold their runs for the next leader, or end them."""
-        for each in list(self.links.values()):
-            await each.link.drop()
-        await self._group.__aexit__()
-
-    async def _read_daemons(self) -> None:
-        answer = await self._ask_member(ReadDaemons(self._revision), DAEMONS_CALL_SECONDS)
-        if not isinstance(answer, DaemonList) or answer.revision == self._revision:
-            return
-        self._revision = answer.revision
-        columns = zip(
-            answer.names, answer.zones, answer.hosts, answer.ports, answer.cores, strict=True
-        )
-        found = {
-            name: Daemon(name, zone, Address(host, port), cores)
-            for name, zone, host, port, cores in columns
-            if name != self._name and cores > 0
-        }
-        self._daemons = tuple(found.values())
-
-    async def _connect_wanted(self) -> None:
-        connected = frozenset(self.links)
-        for daemon in wanted_runners(self._daemons, self._engines.engines.values(), connected):
-            if daemon.name not in self.links and daemon.name not in self._connecting:
-                self._connecting.add(daemon.name)
-                await self._group.spawn(self._connect, daemon)
-
-    async def _connect(self, daemon: Daemon) -> None:
-        try:
-            link = await connect(daemon.address)
-        except LinkLostError as error:
-            logs.decision("runner_unreachable", runner=daemon.name, reason=str(error))
-            return
-        finally:
-            self._connecting.discard(daemon.name)
-        runner = RunnerLink(daemon, link, self._epoch, self._checked)
-        self.links[daemon.name] = runner
-        logs.decision("runner_found", runner=daemon.name, zone=daemon.zone, cores=daemon.cores)
-        try:
-            await runner.serve()
-        finally:
-            if self.links.get(daemon.name) is runner:
-                del self.links[daemon.name]
-            logs.decision("runner_lost", runner=daemon.name, runs=len(runner.runs))
--- a/src/pondtiller/gateway/leader/run_offers.py
+++ b/src/pondtiller/gateway/leader/run_offers.py
@@ -1,10 +1,16 @@
-"""Runs of an earlier leader that their runners offer to this one, taken over in its term."""
+"""Runs of an earlier leader that their runners offer to this one, taken over in its term.
+
+Owns which runners were asked to come again, and where runs that were taken over go on; both end
+with the term. Which run fits the log is decided by `SampleScheduler.take_over`.
+"""
 
 from collections.abc import Awaitable, Callable
+from typing import NamedTuple
 
 from pondtiller.address import Address
 from pondtiller.gateway.leader.leadership import Leadership
-from pondtiller.gateway.leader.run_links import Runner, RunnerDirectory, RunnerLink
+from pondtiller.gateway.leader.run_links import Runner, RunnerLink
+from pondtiller.gateway.leader.runner_directory import RunnerDirectory
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.links.link import CONNECT_SECONDS
 from pondtiller.process import clock, logs
@@ -26,6 +32,44 @@
 pause 0.05 s, look each 0.05 s, and an answer takes 40 ms between regions."""
 
 
+class OfferWait(NamedTuple):
+    """What decides whether a new leader waits for offers; times in seconds of the steady clock.
+
+    Attributes
+    ----------
+    started_at
+        When this gateway's process started.
+    began
+        When the term began.
+    texts_read
+        When the texts of earlier leaders were read; the term's start until they are.
+    is_connecting
+        Whether a runner that offers is being connected to.
+    will_come_again
+        Whether a runner that offered before the texts were read has not offered again.
+    """
+
+    started_at: float
+    began: float
+    texts_read: float
+    is_connecting: bool
+    will_come_again: bool
+
+
+def are_offers_awaited(wait: OfferWait, now: float) -> bool:
+    """Return whether a new leader begins no sample yet, so that a run that goes on may be offered.
+
+    A gateway that leads right after its own start does not wait: all machines have lost power
+    then, as a rule, and nobody has runs.
+    """
+    if wait.began < wait.started_at + FRESH_START_SECONDS:
+        return False
+    lasted = now - wait.began
+    if lasted < HELD_WAIT_SECONDS or (wait.is_connecting and lasted < CONNECT_SECONDS):
+        return True
+    return wait.will_come_again and now < wait.texts_read + COME_AGAIN_SECONDS
+
+
 class RunOffers:
     """What runners offer to one term of a leader.
 
@@ -64,17 +108,15 @@
         self._runner_of: dict[int, RunnerLink] = {}
 
     def are_awaited(self, now: float) -> bool:
-        """Return whether runs of an earlier leader may still be taken over in place of new ones.
-
-        A daemon that leads right after its own start does not wait: all machines have lost power
-        then, as a rule, and nobody has runs.
-        """
-        if self._began < self._leadership.started_at + FRESH_START_SECONDS:
-            return False
-        lasted = now - self._began
-        if lasted < HELD_WAIT_SECONDS or (self._connecting > 0 and lasted < CONNECT_SECONDS):
-            return True
-        return bool(self._to_come_again) and now < self._texts_read + COME_AGAIN_SECONDS
+        """Return whether runs of an earlier leader may still be taken over in place of new ones."""
+        wait = OfferWait(
+            self._leadership.started_at,
+            self._began,
+            self._texts_read,
+            self._connecting > 0,
+            bool(self._to_come_again),
+        )
+        return are_offers_awaited(wait, now)
 
     def texts_read(self, now: float) -> None:
         """Take that the texts that earlier leaders left were read: runs can be taken over."""
--- /dev/null
+++ b/src/pondtiller/gateway/leader/runner_directory.py
@@ -0,0 +1,159 @@
+"""Finds gateways that run samples, and keeps links to as many as the engines need.
+
+Owns the links of one term. Relies on the replicas' group, which knows the gateways that run
+samples. How many an engine needs, and which serves it, is decided in `rollouts/runner_choice.py`.
+"""
+
+from collections.abc import Awaitable, Callable
+
+import curio
+from betterproto import Message
+
+from pondtiller.address import Address
+from pondtiller.gateway.leader.run_links import Runner, RunnerLink
+from pondtiller.links.link import Link, LinkLostError, connect
+from pondtiller.process import logs
+from pondtiller.process.spawner import Spawner
+from pondtiller.rollouts.runner_choice import Daemon, EngineRunners, wanted_runners
+from pondtiller.routes.engines import EngineDirectory
+from pondtiller.wire.steplog import DaemonList, ReadDaemons
+
+FIND_SECONDS = 1.0
+"""Between two looks for gateways to link to. Chosen, not measured: one that is lost or new is
+noticed so late at most, and until then others or the leader itself run its engines' samples; the
+list crosses the link only where it has changed."""
+CONNECT_LOOK_SECONDS = 0.01
+"""How often one who waits for a connection looks; a connection in a zone takes 3 ms."""
+DAEMONS_CALL_SECONDS = 0.5
+"""How long a replica may take to tell of the gateways; then the next one is asked. Chosen, not
+measured: ten times an answer from another region, and half of `FIND_SECONDS`."""
+
+AskMember = Callable[[Message, float], Awaitable[Message | None]]
+
+
+class RunnerDirectory:
+    """Links to gateways that run samples, by name.
+
+    Parameters
+    ----------
+    name
+        This gateway, which leads and therefore runs nothing while others do.
+    ask_member
+        Calls a replica of the group; None where none answers.
+    zone
+        Of this gateway.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        epoch: int,
+        engines: EngineDirectory,
+        local: Runner,
+        ask_member: AskMember,
+        checked: Callable[[list[int], float], None],
+        zone: str = "",
+    ) -> None:
+        self.links: dict[str, RunnerLink] = {}
+        self._name = name
+        self._epoch = epoch
+        self._engines = engines
+        self._local = local
+        self._ask_member = ask_member
+        self._checked = checked
+        self._chosen = EngineRunners(engines.places, zone)
+        self._daemons: tuple[Daemon, ...] = ()
+        self._revision = 0
+        self._connecting: set[str] = set()
+        self._group = Spawner()
+
+    def runner_for(self, engine: str) -> tuple[str, Runner]:
+        """Return who serves an engine now, with the name: a connected gateway, else this one."""
+        known = self._engines.engines.get(engine)
+        connected = {
+            name: each.daemon
+            for name, each in self.links.items()
+            if not each.link.is_lost and name != self._name
+        }
+        name = self._chosen.choose(known, connected) if known is not None else None
+        if name is None:
+            return self._name, self._local
+        return name, self.links[name]
+
+    async def connect_to(self, daemon: Daemon) -> RunnerLink | None:
+        """Return the link to a gateway that has runs for this leader; None where there is none.
+
+        This gateway itself may be one: it ran samples for the leader before.
+        """
+        if daemon.name not in self.links and daemon.name not in self._connecting:
+            self._connecting.add(daemon.name)
+            await self._group.spawn(self._connect, daemon)
+        while daemon.name in self._connecting:
+            await curio.sleep(CONNECT_LOOK_SECONDS)
+        found = self.links.get(daemon.name)
+        return found if found is not None and not found.link.is_lost else None
+
+    def bearers(self, most: int) -> list[Link]:
+        """Return the links of some connected gateways, of different zones where there are."""
+        by_zone = {each.daemon.zone: each for each in self.links.values()}
+        ordered = [*by_zone.values(), *self.links.values()]
+        chosen = {each.daemon.name: each.link for each in ordered if not each.link.is_lost}
+        chosen.pop(self._name, None)
+        return list(chosen.values())[:most]
+
+    async def run(self) -> None:
+        """Look for gateways and connect to them, until cancelled."""
+        try:
+            while True:
+                await self._read_daemons()
+                await self._connect_wanted()
+                self._chosen.forget(self._engines.engines)
+                await curio.sleep(FIND_SECONDS)
+        finally:
+            await self._group.__aexit__()
+
+    async def close(self) -> None:
+        """End all links: the runners hold their runs for the next leader, or end them."""
+        for each in list(self.links.values()):
+            await each.link.drop()
+        await self._group.__aexit__()
+
+    async def _read_daemons(self) -> None:
+        answer = await self._ask_member(ReadDaemons(self._revision), DAEMONS_CALL_SECONDS)
+        if not isinstance(answer, DaemonList) or answer.revision == self._revision:
+            return
+        self._revision = answer.revision
+        columns = zip(
+            answer.names, answer.zones, answer.hosts, answer.ports, answer.cores, strict=True
+        )
+        found = {
+            name: Daemon(name, zone, Address(host, port), cores)
+            for name, zone, host, port, cores in columns
+            if name != self._name and cores > 0
+        }
+        self._daemons = tuple(found.values())
+
+    async def _connect_wanted(self) -> None:
+        connected = frozenset(self.links)
+        for daemon in wanted_runners(self._daemons, self._engines.engines.values(), connected):
+            if daemon.name not in self.links and daemon.name not in self._connecting:
+                self._connecting.add(daemon.name)
+                await self._group.spawn(self._connect, daemon)
+
+    async def _connect(self, daemon: Daemon) -> None:
+        try:
+            link = await connect(daemon.address)
+        except LinkLostError as error:
+            logs.decision("runner_unreachable", runner=daemon.name, reason=str(error))
+            return
+        finally:
+            self._connecting.discard(daemon.name)
+        runner = RunnerLink(daemon, link, self._epoch, self._checked)
+        self.links[daemon.name] = runner
+        logs.decision("runner_found", runner=daemon.name, zone=daemon.zone, cores=daemon.cores)
+        try:
+            await runner.serve()
+        finally:
+            if self.links.get(daemon.name) is runner:
+                del self.links[daemon.name]
+            logs.decision("runner_lost", runner=daemon.name, runs=len(runner.runs))
--- a/src/pondtiller/gateway/leader/sample_runs.py
+++ b/src/pondtiller/gateway/leader/sample_runs.py
@@ -10,8 +10,9 @@
 import curio
 
 from pondtiller.address import Address
-from pondtiller.gateway.leader.run_links import RUNNER_LOST, Runner, RunnerDirectory, RunnerLink
+from pondtiller.gateway.leader.run_links import RUNNER_LOST, Runner, RunnerLink
 from pondtiller.gateway.leader.run_offers import RunOffers
+from pondtiller.gateway.leader.runner_directory import RunnerDirectory
 from pondtiller.gateway.leader.scaling_duty import ScalingDuty
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.gateway.runs.sample_runner import RunOrder, RunOutcome
--- a/src/pondtiller/gateway/leader/scaling_duty.py
+++ b/src/pondtiller/gateway/leader/scaling_duty.py
@@ -1,7 +1,10 @@
 """The leader's duty to order engines: looks at the need, asks the policy, sends its orders.
 
+Owns the state of each service, for one term. How many engines are ordered is decided by the policy
+(`rollouts/scaling.py`) from the need (`rollouts/engine_need.py`).
+
 The right to send is the right to order engines: a note in the log before each call, and a pause
-after another daemon's last note, see `order_rights`. Nothing else is kept: an order names a
+after another gateway's last note, see `order_rights`. Nothing else is kept: an order names a
 number, and a successor sees in the engines' entries what became of it.
 """
 
@@ -12,7 +15,8 @@
 
 from pondtiller.gateway.callers.front import Front
 from pondtiller.gateway.leader.leadership import Leadership
-from pondtiller.gateway.leader.order_rights import NOTE_SECONDS, OrderRights
+from pondtiller.gateway.leader.order_rights import OrderRights
+from pondtiller.gateway.leader.order_waits import pause_after_others
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.platform.operator_api import OperatorClient
 from pondtiller.process import clock, logs
@@ -29,11 +33,16 @@
 from pondtiller.routes.table import Scaling
 
 LOOK_SECONDS = 0.5
+"""Between two looks at the need of engines. Chosen, not measured: an engine takes seconds to start,
+and a look goes through all samples of open steps."""
 CALL_SECONDS = 1.5
 """How long one call may take; the platform answers in some ms, 70 times that when it is slow."""
 RETRY_SECONDS = 1.0
+"""Pause after the first call that was not taken; twice as long after each further one. Chosen, not
+measured."""
 LONGEST_RETRY_SECONDS = 8.0
-"""After a call that was not taken: each call is paid, and the order is the same a second later."""
+"""After a call that was not taken: each call is paid, and the order is the same a second later.
+Chosen, not measured."""
 
 Works = dict[tuple[str, str], SampleWork]
 
@@ -44,7 +53,7 @@
     Attributes
     ----------
     lease_seconds
-        Least time between calls of two daemons.
+        Least time between calls of two gateways.
     """
 
     policy: PolicyName
@@ -132,8 +141,8 @@
 
     @property
     def _pause(self) -> float:
-        """How long after another daemon's note its call may still count against one from here."""
-        return self._parts.settings.lease_seconds + NOTE_SECONDS + CALL_SECONDS + 0.1
+        """How long after another gateway's note its call may still count against one from here."""
+        return pause_after_others(self._parts.settings.lease_seconds, CALL_SECONDS)
 
     async def _order(self, state: ServiceScale, order: ScaleOrder) -> None:
         subject = subject_of(order)
--- a/src/pondtiller/gateway/leader/term.py
+++ b/src/pondtiller/gateway/leader/term.py
@@ -14,8 +14,8 @@
 from pondtiller.gateway.leader.duty_parts import DutyParts
 from pondtiller.gateway.leader.order_rights import OrderRights
 from pondtiller.gateway.leader.rate_duty import RateDuty
-from pondtiller.gateway.leader.run_links import RunnerDirectory
 from pondtiller.gateway.leader.run_offers import RunOffers
+from pondtiller.gateway.leader.runner_directory import RunnerDirectory
 from pondtiller.gateway.leader.sample_runs import RunParts, SampleRuns
 from pondtiller.gateway.leader.scaling_duty import ScalingDuty, ScalingParts
 from pondtiller.gateway.leader.step_waiters import StepWaiters
@@ -190,7 +190,7 @@
         """Cancel everything; calls that wait learn that their outcome is not known."""
         self._waiters.is_over = True
         self.scheduler.abandon()
-        # Runners hold what they run for this daemon once their links end, whatever is delayed.
+        # Runners hold what they run for this gateway once their links end, whatever is delayed.
         await self.runners.close()
         await self._runs.end_all()
         await self._group.__aexit__()
@@ -339,7 +339,7 @@
         return self.book.read(step, position)
 
     def take_use(self, message: UseTold) -> UseTaken:
-        """Take what a daemon has counted."""
+        """Take what a gateway has counted."""
         if self.usage is None:
             return UseTaken(status=StepStatus.OK, epoch=self.epoch)
         return self.usage.take(message)
--- a/src/pondtiller/gateway/leader/unfinished_texts.py
+++ b/src/pondtiller/gateway/leader/unfinished_texts.py
@@ -10,7 +10,7 @@
 import curio
 
 from pondtiller.gateway.leader.leadership import Leadership
-from pondtiller.gateway.leader.run_links import RunnerDirectory
+from pondtiller.gateway.leader.runner_directory import RunnerDirectory
 from pondtiller.links.frames import encode_message
 from pondtiller.links.link import LinkLostError
 from pondtiller.process import clock, logs
--- a/src/pondtiller/gateway/leader/usage_duty.py
+++ b/src/pondtiller/gateway/leader/usage_duty.py
@@ -1,7 +1,10 @@
 """The leader's duty to report use: gathers counts, closes windows, sends each report till it came.
 
+Owns the counts of open windows, for one term; they stand in the step log from `TALLY_SECONDS` on.
+When a window is closed, and when a report counts no more, is decided in `usage/reports.py`.
+
 The right to send is the right to order engines: a note in the log before each send, and a pause
-after another daemon's last note, see `order_rights`.
+after another gateway's last note, see `order_rights`.
 """
 
 import random
@@ -13,7 +16,8 @@
 from pondtiller.coordination.agreed_clock import AgreedClock
 from pondtiller.gateway.callers.front import Front
 from pondtiller.gateway.leader.leadership import Leadership
-from pondtiller.gateway.leader.order_rights import NOTE_SECONDS, OrderRights
+from pondtiller.gateway.leader.order_rights import OrderRights
+from pondtiller.gateway.leader.order_waits import pause_after_others
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.platform.operator_api import OperatorClient, usage_body
 from pondtiller.process import clock, logs
@@ -32,6 +36,8 @@
 from pondtiller.wire.steplog import UseTaken, UseTold
 
 LOOK_SECONDS = 0.2
+"""Between two looks for windows to close and reports to send. Chosen, not measured: a report counts
+for seconds after its window."""
 TALLY_SECONDS = 0.5
 """How long counts are gathered before they go to the log: what a loss of power of all machines
 costs of the window that is open."""
@@ -51,7 +57,7 @@
     late_seconds
         A report counts until so long after its window.
     lease_seconds
-        Least time between calls of two daemons.
+        Least time between calls of two gateways.
     """
 
     window_seconds: float
@@ -111,7 +117,7 @@
         self._agreed.forget_machines()
 
     def take(self, message: UseTold) -> UseTaken:
-        """Take what a daemon tells."""
+        """Take what a gateway has counted."""
         now = clock.monotonic()
         self._agreed.heard(message.daemon, message.wall_seconds, now)
         rows = unpack_rows(message.rows)
@@ -164,8 +170,8 @@
 
     @property
     def _pause(self) -> float:
-        """How long after another daemon's note its call may still count against one from here."""
-        return self._settings.lease_seconds + NOTE_SECONDS + CALL_SECONDS + 0.1
+        """How long after another gateway's note its call may still count against one from here."""
+        return pause_after_others(self._settings.lease_seconds, CALL_SECONDS)
 
     def _write_tally(self, now: float) -> None:
         if not self._news or now < self._next_tally:
