--- a/src/pondtiller/gateway/leader/order_waits.py
+++ b/src/pondtiller/gateway/leader/order_waits.py
@@ -43,13 +43,13 @@
     Only those wait that another gateway ordered: own orders are in order by themselves.
     """
     return {
-        place: last.at + pause for place, last in last_orders.items() if last.daemon != own_name
+        place: last.at + pause for place, last in last_orders.items() if last.gateway != own_name
     }
 
 
 def free_from(last: LastOrder | None, own_name: str, pause: float) -> float:
     """Return when a gateway may act on a subject, given the last order of it in the log."""
-    if last is None or last.daemon == own_name:
+    if last is None or last.gateway == own_name:
         return float("-inf")
     return last.at + pause
 
--- a/src/pondtiller/gateway/leader/usage_duty.py
+++ b/src/pondtiller/gateway/leader/usage_duty.py
@@ -129,13 +129,13 @@
             status=StepStatus.OK, epoch=self._epoch, agreed_seconds=self._agreed.now(now) or 0.0
         )
 
-    def _note_late(self, daemon: str, rows: list[UseRow]) -> None:
+    def _note_late(self, gateway: str, rows: list[UseRow]) -> None:
         """Tell of counts that come after their window was closed: they are not reported."""
         first = self.reports.next_window
         late = [row for row in rows if first is not None and row.window < first]
         if late:
             logs.decision(
-                "use_late", told_by=daemon, windows=",".join(str(row.window) for row in late)
+                "use_late", told_by=gateway, windows=",".join(str(row.window) for row in late)
             )
 
     def committed(self, key: str) -> None:
--- a/src/pondtiller/peers/replicas.py
+++ b/src/pondtiller/peers/replicas.py
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        daemon: str,
+        gateway: str,
         connected: Callable[[int, GroupMember], Awaitable[None]],
         lost: Callable[[int], Awaitable[None]],
         changed: Callable[[], Awaitable[None]],
@@ -105,7 +105,7 @@
         self.highest_epoch = 0
         self.group = Group()
         self.keeps_all = False
-        self.subscription = Subscribe(daemon=daemon)
+        self.subscription = Subscribe(daemon=gateway)
         self._connected = connected
         self._lost = lost
         self._changed = changed
--- a/src/pondtiller/steplog/holder.py
+++ b/src/pondtiller/steplog/holder.py
@@ -1,7 +1,7 @@
-"""Who may order engines: the last daemon that claimed it in the log.
+"""Who may order engines: the last gateway that claimed it in the log.
 
-A daemon's first order in a term comes after its claim is committed. So the last claim in the
-log names the only daemon that can have given the latest orders, and where that daemon leads
+A gateway's first order in a term comes after its claim is committed. So the last claim in the
+log names the only gateway that can have given the latest orders, and where that gateway leads
 again there is nobody's late order to wait for.
 """
 
@@ -18,7 +18,7 @@
 
 
 def holder_of(entries: Iterable[Entry]) -> str:
-    """Return the daemon of the last claim among entries; empty where there is none."""
+    """Return the gateway of the last claim among entries; empty where there is none."""
     claims = [entry for entry in entries if entry.key.startswith(HOLDER_PREFIX)]
     last = max(claims, key=lambda entry: entry.key, default=None)
     return last.value.decode() if last is not None else ""
--- a/src/pondtiller/steplog/order_notes.py
+++ b/src/pondtiller/steplog/order_notes.py
@@ -1,8 +1,8 @@
-"""Notes of orders to engines: which daemon ordered which engine last, and how long ago. No I/O.
+"""Notes of orders to engines: which gateway ordered which engine last, and how long ago. No I/O.
 
 A leader writes a note into the log before each order, and gives the order only once the note is
 committed. So a successor finds a note of every order that was given, and need wait only for the
-engines that another daemon ordered lately, instead of for all.
+engines that another gateway ordered lately, instead of for all.
 
 Clocks of machines differ, so no time is written: each replica measures on its own steady clock
 how long it has held a note. The promises of a read quorum hold at least one copy that is older
@@ -29,19 +29,19 @@
         Rises with each note of an epoch.
     engine
         Where the engine is reached: another start at the same place is the same engine here.
-    daemon
+    gateway
         Who ordered.
     """
 
     epoch: int
     number: int
     engine: str
-    daemon: str
+    gateway: str
 
     @property
     def key(self) -> str:
         """Key in the log; keys sort by epoch, then by number."""
-        return f"{ORDER_PREFIX}{self.epoch:020d}/{self.number:08d}/{self.engine}/{self.daemon}"
+        return f"{ORDER_PREFIX}{self.epoch:020d}/{self.number:08d}/{self.engine}/{self.gateway}"
 
 
 class LastOrder(NamedTuple):
@@ -53,14 +53,14 @@
         Time of the candidate's steady clock, in seconds, before which it was noted.
     """
 
-    daemon: str
+    gateway: str
     at: float
 
 
 def parse_note(key: str) -> OrderNote:
     """Return the note that a key stands for."""
-    _, epoch, number, engine, daemon = key.split("/", 4)
-    return OrderNote(int(epoch), int(number), engine, daemon)
+    _, epoch, number, engine, gateway = key.split("/", 4)
+    return OrderNote(int(epoch), int(number), engine, gateway)
 
 
 def last_orders(
@@ -80,7 +80,7 @@
     found: dict[str, LastOrder] = {}
     for key in sorted(keys):
         note = parse_note(key)
-        found[note.engine] = LastOrder(note.daemon, noted_at.get(key, latest))
+        found[note.engine] = LastOrder(note.gateway, noted_at.get(key, latest))
     return found
 
 
@@ -101,10 +101,10 @@
         """Return the last order of each engine, as `last_orders` does."""
         return last_orders(self._noted_at, keys, latest)
 
-    def next_note(self, epoch: int, engine: str, daemon: str) -> OrderNote:
+    def next_note(self, epoch: int, engine: str, gateway: str) -> OrderNote:
         """Return a new note of this term."""
         self._last_number += 1
-        return OrderNote(epoch, self._last_number, engine, daemon)
+        return OrderNote(epoch, self._last_number, engine, gateway)
 
 
 def older_notes(key: str, keys: Iterable[str]) -> list[str]:
--- a/src/pondtiller/steplog/replica.py
+++ b/src/pondtiller/steplog/replica.py
@@ -55,7 +55,7 @@
     Attributes
     ----------
     leader
-        The daemon that holds the lease; empty while none does.
+        The gateway that holds the lease; empty while none does.
     special_revision
         Counts the changes of groups and claims.
     """
@@ -94,7 +94,7 @@
     promised
         Highest epoch promised; durable.
     promised_to
-        The daemon that it was promised to; durable.
+        The gateway that it was promised to; durable.
     entries
         Values by key; durable.
     special
@@ -211,10 +211,10 @@
         return LeaseAge(epoch=self.lease.epoch, milliseconds=int((LEASE_SECONDS - left) * 1000))
 
     def _is_held_against(self, message: Prepare, now: float) -> bool:
-        """Return whether another daemon may still believe in its lease.
+        """Return whether another gateway may still believe in its lease.
 
         A replica that starts again forgot when it granted one, so it waits for a lease.
-        A daemon that stands again has ended its earlier lease: it gave it up, or its process
+        A gateway that stands again has ended its earlier lease: it gave it up, or its process
         ended. An epoch belongs to one leader, so the same epoch is the same leader again.
         """
         if message.epoch == self.promised:
--- a/src/pondtiller/steplog/tests/test_order_notes.py
+++ b/src/pondtiller/steplog/tests/test_order_notes.py
@@ -38,7 +38,7 @@
     def _won(self, daemon: Daemon, won: Won) -> None:
         self.won(daemon, won)
         last = won.last_orders.get(ENGINE)
-        is_other = last is not None and last.daemon != daemon.name
+        is_other = last is not None and last.gateway != daemon.name
         pause = LEASE_SECONDS + LATEST_ARRIVAL_SECONDS
         self.waits[daemon.name] = last.at + pause if last is not None and is_other else 0.0
 
