--- a/src/pondtiller/rollouts/group_runs.py
+++ b/src/pondtiller/rollouts/group_runs.py
@@ -1,4 +1,4 @@
-"""How many runs of each group are at which engine. No I/O.
+"""Which engines run samples of a group, and how many. No I/O.
 
 Owns the counts, for one term of a leader. What nobody counts any more is forgotten.
 """
@@ -8,37 +8,26 @@
 
 
 class GroupRuns:
-    """Counts runs by engine and group."""
+    """Counts runs of each group by engine."""
 
     def __init__(self) -> None:
-        self._groups_at: dict[str, Counter[str]] = {}
         self._engines_of: dict[str, Counter[str]] = {}
 
     def began(self, engine: str, group: str) -> None:
         """Count a run."""
-        self._groups_at.setdefault(engine, Counter())[group] += 1
         self._engines_of.setdefault(group, Counter())[engine] += 1
 
     def ended(self, engine: str, group: str) -> None:
         """Count the end of a run."""
-        _count_down(self._groups_at, engine, group)
-        _count_down(self._engines_of, group, engine)
-
-    def groups_at(self, engine: str) -> Collection[str]:
-        """Return the groups of which an engine runs samples."""
-        return self._groups_at.get(engine, ())
+        engines = self._engines_of.get(group)
+        if engines is None:
+            return
+        engines[engine] -= 1
+        if engines[engine] <= 0:
+            del engines[engine]
+        if not engines:
+            del self._engines_of[group]
 
     def engines_of(self, group: str) -> Collection[str]:
         """Return the engines that run samples of a group, in the order in which they began."""
         return self._engines_of.get(group, ())
-
-
-def _count_down(counts: dict[str, Counter[str]], name: str, part: str) -> None:
-    counter = counts.get(name)
-    if counter is None:
-        return
-    counter[part] -= 1
-    if counter[part] <= 0:
-        del counter[part]
-    if not counter:
-        del counts[name]
--- a/src/pondtiller/rollouts/load_choice.py
+++ b/src/pondtiller/rollouts/load_choice.py
@@ -47,12 +47,14 @@
     identifier: str
 
 
-def is_spare(has_version: int, version: int, is_enough: bool) -> bool:
-    """Return whether an engine stays as it is while others take turns.
+def spare_below(version: int, is_enough: bool) -> int:
+    """Return the version below which an engine is spare: it stays as it is while others take turns.
 
     Parameters
     ----------
+    version
+        The newest one, which is to be loaded.
     is_enough
-        Whether the sound engines are as many as all their models' steps need.
+        Whether the sound engines are as many as all their models' steps need; else none is spare.
     """
-    return is_enough and version - has_version > VERSIONS_IN_TURN
+    return version - VERSIONS_IN_TURN if is_enough else 0
--- a/src/pondtiller/rollouts/placement.py
+++ b/src/pondtiller/rollouts/placement.py
@@ -114,9 +114,12 @@
         if not candidates.compared:
             return None
         compared = [*candidates.compared.values(), *self._of_group(work, view, candidates)]
+        with_group = self._groups.engines_of(work.group)
         return min(
             self._new_to(work, compared, view, now),
-            key=lambda each: self._cost(each, work, view.pace),
+            key=lambda each: self._costs.of(
+                each, view.pace, work.size, each.identifier in with_group
+            ),
             default=None,
         )
 
@@ -225,8 +228,3 @@
         if stays_with is not None:
             return version == stays_with
         return version >= work.oldest_version
-
-    def _cost(self, engine: Engine, work: SampleWork, pace: float) -> float:
-        """Return what a place at an engine costs a sample."""
-        shares_prompt = work.group in self._groups.groups_at(engine.identifier)
-        return self._costs.of(engine, pace, work.size, shares_prompt)
--- a/src/pondtiller/rollouts/taking_over.py
+++ b/src/pondtiller/rollouts/taking_over.py
@@ -14,7 +14,6 @@
 class TakeOverRefusal(StrEnum):
     """Why an offered run does not go on."""
 
-    UNKNOWN = "unknown"
     NOT_WAITING = "not_waiting"
     NOT_ROUTED = "not_routed"
     STILL_ENDING = "still_ending"
--- a/src/pondtiller/rollouts/versions.py
+++ b/src/pondtiller/rollouts/versions.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from pondtiller.rollouts.load_choice import LoadOrder, is_spare, loads_at_once
+from pondtiller.rollouts.load_choice import LoadOrder, loads_at_once, spare_below
 from pondtiller.rollouts.model_demand import ModelDemand
 from pondtiller.rollouts.model_fleet import ModelFleet, fleets_of
 from pondtiller.routes.engines import Engine, EngineDirectory
@@ -47,6 +47,13 @@
     engine: str
 
 
+class ModelVersion(NamedTuple):
+    """A version of a model's weights."""
+
+    model: str
+    version: int
+
+
 class EngineReport(NamedTuple):
     """What an engine said of itself, with the orders that it took after that.
 
@@ -185,10 +192,10 @@
         with_models = {each for fleet in self._fleets.values() for each in fleet.engines}
         return loads_at_once(len(with_models))
 
-    def _by_need(self) -> list[tuple[str, int]]:
+    def _by_need(self) -> list[ModelVersion]:
         """Return the newest versions, those that fewest engines have first."""
-        versions = list(self.newest.items())
-        return sorted(versions, key=lambda each: len(self._holding(each[0], each[1])))
+        versions = [ModelVersion(*each) for each in self.newest.items()]
+        return sorted(versions, key=lambda each: len(self._holding(each.model, each.version)))
 
     def _to_load(self, model: str, version: int, now: float) -> list[Engine]:
         """Return the engines that are to load a version now, the first ones first.
@@ -205,17 +212,12 @@
             for engine in fleet.engines.values()
             if self._version_of(engine, model) < version and self._may_order(engine, now)
         ]
-        is_enough = self.demand.is_enough(fleet)
+        spare = spare_below(version, self.demand.is_enough(fleet))
 
         def order(engine: Engine) -> LoadOrder:
             has = self._version_of(engine, model)
-            return LoadOrder(
-                engine.identifier in fleet.slow,
-                is_spare(has, version, is_enough),
-                has,
-                engine.running,
-                engine.identifier,
-            )
+            name = engine.identifier
+            return LoadOrder(name in fleet.slow, has < spare, has, engine.running, name)
 
         return sorted(behind, key=order)[:missing]
 
--- a/src/pondtiller/usage/ledger.py
+++ b/src/pondtiller/usage/ledger.py
@@ -38,19 +38,27 @@
     at: float
 
 
+class LedgerKey(NamedTuple):
+    """Whose count it is: a start of a daemon, and a tenant."""
+
+    daemon: str
+    incarnation: int
+    tenant: str
+
+
 class UseLedger:
     """The highest count of each row that was told; adding up is left for the end of a window."""
 
     def __init__(self) -> None:
         self.daemons: dict[str, HeardDaemon] = {}
-        self._windows: dict[int, dict[tuple[str, int, str], int]] = {}
+        self._windows: dict[int, dict[LedgerKey, int]] = {}
 
     def take(self, rows: Iterable[LedgerRow]) -> list[LedgerRow]:
         """Take counts; return those that are news. A lower count than a known one is late."""
         news: list[LedgerRow] = []
         for row in rows:
             window = self._windows.setdefault(row.window, {})
-            key = (row.daemon, row.incarnation, row.tenant)
+            key = LedgerKey(row.daemon, row.incarnation, row.tenant)
             if row.requests > window.get(key, 0):
                 window[key] = row.requests
                 news.append(row)
@@ -79,8 +87,8 @@
     def totals(self, window: int) -> dict[str, int]:
         """Return how many requests of each tenant began in a window."""
         found: dict[str, int] = {}
-        for (_, _, tenant), count in sorted(self._windows.get(window, {}).items()):
-            found[tenant] = found.get(tenant, 0) + count
+        for key, count in sorted(self._windows.get(window, {}).items()):
+            found[key.tenant] = found.get(key.tenant, 0) + count
         return found
 
     def windows(self) -> list[int]:
--- a/src/pondtiller/usage/meter.py
+++ b/src/pondtiller/usage/meter.py
@@ -3,6 +3,9 @@
 A request counts once, in the window in which its first engine began it. Counts only grow, and a
 leader is told the counts themselves and not their changes, so a message that is lost, repeated or
 late does no harm.
+
+Owns the counts of this gateway, in memory alone: what is not told when it ends is not reported.
+Does not add up over gateways (`ledger.py`), nor decide which window is due (`reports.py`).
 """
 
 import json
@@ -23,6 +26,13 @@
     requests: int
 
 
+class UseKey(NamedTuple):
+    """What is counted together: a tenant's requests that began in a window."""
+
+    window: int
+    tenant: str
+
+
 def pack_rows(rows: Iterable[UseRow]) -> bytes:
     """Return rows as they are told."""
     return json.dumps(list(rows)).encode()
@@ -85,10 +95,10 @@
 
     def __init__(self, window_seconds: float) -> None:
         self.window_seconds = window_seconds
-        self.counts: dict[tuple[int, str], int] = {}
+        self.counts: dict[UseKey, int] = {}
         self._open: set[Beginning] = set()
         self._untimed: list[Beginning] = []
-        self._told: dict[tuple[int, str], int] = {}
+        self._told: dict[UseKey, int] = {}
         self._told_epoch = 0
 
     def open(self, tenant: str, now: float) -> Beginning:
@@ -117,10 +127,10 @@
         untimed, self._untimed = self._untimed, []
         for each in untimed:
             began = agreed_now - (now - (each.began_at or now))
-            key = (window_of(began, self.window_seconds), each.tenant)
+            key = UseKey(window_of(began, self.window_seconds), each.tenant)
             self.counts[key] = self.counts.get(key, 0) + 1
         oldest = window_of(agreed_now - KEPT_SECONDS, self.window_seconds)
-        for key in [key for key in self.counts if key[0] < oldest]:
+        for key in [key for key in self.counts if key.window < oldest]:
             del self.counts[key]
             self._told.pop(key, None)
 
@@ -130,9 +140,9 @@
             self._told_epoch = epoch
             self._told.clear()
         return [
-            UseRow(window, tenant, count)
-            for (window, tenant), count in self.counts.items()
-            if self._told.get((window, tenant)) != count
+            UseRow(key.window, key.tenant, count)
+            for key, count in self.counts.items()
+            if self._told.get(key) != count
         ]
 
     def told(self, epoch: int, rows: list[UseRow]) -> None:
@@ -140,4 +150,4 @@
         if epoch != self._told_epoch:
             return
         for row in rows:
-            self._told[row.window, row.tenant] = row.requests
+            self._told[UseKey(row.window, row.tenant)] = row.requests
