--- a/src/pondtiller/rollouts/tests/test_run_holding.py
+++ b/src/pondtiller/rollouts/tests/test_run_holding.py
@@ -12,10 +12,12 @@
     HEARD_SECONDS,
     LEADER_SILENT_SECONDS,
     LONGEST_SECONDS,
+    BeginRefusal,
     HoldStep,
     LostLeader,
     after_asking,
     next_step,
+    why_not_begun,
 )
 from pondtiller.steplog.leader import HEARTBEAT_SECONDS
 from pondtiller.steplog.replica import LEASE_SECONDS
@@ -74,3 +76,10 @@
     leader_begins = -NEWS_SECONDS + RUNNER_SILENT_SECONDS
     runner_ends = LEADER_SILENT_SECONDS + LOOK_SECONDS + ANSWER_SECONDS
     assert runner_ends - leader_begins < 0.4
+
+
+def test_a_run_is_begun_for_the_newest_leader_alone_and_not_while_stopping() -> None:
+    assert why_not_begun(6, 6, is_stopping=False) is None
+    assert why_not_begun(7, 6, is_stopping=False) is None
+    assert why_not_begun(5, 6, is_stopping=False) is BeginRefusal.OLDER_LEADER
+    assert why_not_begun(6, 6, is_stopping=True) is BeginRefusal.STOPS
--- a/src/pondtiller/rollouts/tests/test_taking_over.py
+++ b/src/pondtiller/rollouts/tests/test_taking_over.py
@@ -4,6 +4,7 @@
 
 from pondtiller.rollouts.progress import pack_events
 from pondtiller.rollouts.sample_work import NO_RUN, OfferedRun, RunName, Stage, StartRun
+from pondtiller.rollouts.taking_over import OfferedSample, TakeOverRefusal, why_not_taken_over
 from pondtiller.rollouts.tests.test_samples import Bench, starts
 from pondtiller.wire.steplog import SampleProgress
 
@@ -97,3 +98,36 @@
     offered = OfferedRun(sample, engine, 0, EARLIER)
     assert not made.scheduler.take_over(offered, "d", 1.0)
     assert made.scheduler.take() == []
+
+
+OFFERED = OfferedRun("s-0-0", "e0", 2, RunName(6, 1), text_by=RunName(5, 9))
+WAITING = OfferedSample(
+    stage=Stage.WAITING,
+    is_routed=True,
+    is_ending=False,
+    has_left=False,
+    last_event=2,
+    made_by=RunName(5, 9),
+    in_home=True,
+)
+
+
+@pytest.mark.parametrize(
+    ("sample", "refusal"),
+    [
+        (WAITING, None),
+        (WAITING._replace(last_event=3, made_by=RunName(6, 1)), None),
+        (WAITING._replace(stage=Stage.RUNNING), TakeOverRefusal.NOT_WAITING),
+        (WAITING._replace(is_routed=False), TakeOverRefusal.NOT_ROUTED),
+        (WAITING._replace(is_ending=True), TakeOverRefusal.STILL_ENDING),
+        (WAITING._replace(has_left=True), TakeOverRefusal.LEFT_ENGINE),
+        (WAITING._replace(last_event=1), TakeOverRefusal.OTHER_TEXT),
+        (WAITING._replace(last_event=3), TakeOverRefusal.OTHER_TEXT),
+        (WAITING._replace(made_by=RunName(6, 1)), TakeOverRefusal.OTHER_TEXT),
+        (WAITING._replace(in_home=False), TakeOverRefusal.OUTSIDE_HOME),
+    ],
+)
+def test_each_reason_not_to_take_a_run_over(
+    sample: OfferedSample, refusal: TakeOverRefusal | None
+) -> None:
+    assert why_not_taken_over(OFFERED, sample) is refusal
