--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -48,6 +48,7 @@
 from pondtiller.routes.places import Places
 from pondtiller.routes.rates import SUBJECT_PREFIX as TENANT_PREFIX
 from pondtiller.routes.send_gate import SendGate
+from pondtiller.routes.table import RouteTable
 from pondtiller.settings import GatewaySettings
 from pondtiller.steplog.fault_tolerance import PlaceRules
 from pondtiller.store.evacuation_watch import EvacuationWatch
@@ -72,23 +73,34 @@
         self.metrics = GatewayMetrics()
         self.places = Places(settings.regions)
         self.engines = EngineDirectory(self.places)
+        self.store = ObjectClient(to_address(settings.store), HttpClient())
+        self._health = StoreHealth()
+        self._make_sending()
+        self._make_leadership()
+        self._make_front()
+        self._make_runs()
+        self._make_store_readers()
+        self._make_duties()
+        self._make_watches()
+        self._make_pages()
+
+    def _make_sending(self) -> None:
+        """Make what sends requests to engines, and what holds them back."""
+        settings = self.settings
         self.gate = SendGate(self.engines)
         self.pool = EnginePool()
-        client = HttpClient()
-        self.store = ObjectClient(to_address(settings.store), client)
-        health = StoreHealth()
         bound = ColdBound(settings.cold.excess, settings.cold.slack)
-        cold = ColdEngines(self.engines, bound, lambda: self.front.table)
+        self._cold_engines = ColdEngines(self.engines, bound, self._table)
         self.shares = ShareAsker(
             settings.name,
             lambda message, seconds: self.steps.ask_shares(message, seconds),
             lambda: self.leadership.leader(),
         )
-        self.cold = ColdSends(cold, self.shares, self.metrics)
+        self.cold = ColdSends(self._cold_engines, self.shares, self.metrics)
         self.gate.rules.append(self.cold.rule)
         self.gate.unknown_rule = self.cold.unknown_rule
         self.suspects = SuspectContents(self.metrics)
-        forwarder = self.forwarder = Forwarder(
+        self.forwarder = Forwarder(
             settings.zone,
             self.engines,
             self.pool,
@@ -97,6 +109,10 @@
             self.cold,
             self.suspects,
         )
+
+    def _make_leadership(self) -> None:
+        """Make what stands for leader, and the client of whoever leads."""
+        settings = self.settings
         self.sockets = GatewaySockets(settings)
         rules = PlaceRules(settings.tolerance, self.places)
         self.leadership = Leadership(
@@ -110,21 +126,23 @@
             rules,
         )
         self.steps = LeaderClient(settings.name, self.leadership.leader, self)
-        streams = StreamForwarder(forwarder, self.pool, self.gate)
+
+    def _make_front(self) -> None:
+        """Make what answers callers and trainers, and counts use by tenant."""
+        settings = self.settings
+        streams = StreamForwarder(self.forwarder, self.pool, self.gate)
         self.agreed = AgreedClock()
         usage = usage_settings(settings)
         meter = UseMeter(usage.window_seconds if usage is not None else 0.0)
-        keys = KeyFreshness(settings.keys, lambda: self.watches.configuration.heard_at)
-        self.rates = TenantRates(
-            settings.rate_excess, self.shares, lambda: self.front.table, self.metrics
-        )
+        self._keys = KeyFreshness(settings.keys, lambda: self.watches.configuration.heard_at)
+        self.rates = TenantRates(settings.rate_excess, self.shares, self._table, self.metrics)
         self.front = Front(
-            forwarder,
+            self.forwarder,
             streams,
             self.steps,
             self.metrics,
             meter,
-            keys.is_fresh,
+            self._keys.is_fresh,
             self.rates,
             self.places,
         )
@@ -133,37 +151,49 @@
             self.teller = UsageTeller(
                 settings.name, meter, self.agreed, self.steps, self.leadership.leader
             )
-        runner = SampleRunner(self.gate, self.pool, forwarder, lambda: self.front.table, self.cold)
+
+    def _make_runs(self) -> None:
+        """Make what runs samples here for a leader."""
+        self._runner = SampleRunner(self.gate, self.pool, self.forwarder, self._table, self.cold)
         self.run_host = RunHost(
-            runner, lambda: self.leadership.replicas.highest_epoch, self._make_held_runs()
+            self._runner,
+            lambda: self.leadership.replicas.highest_epoch,
+            self._make_leaderless_runs(),
         )
         self.leadership.replicas.subscription = self._subscription()
+
+    def _make_store_readers(self) -> None:
+        """Make what reads the store through mirrors, and what a leader follows there."""
         self.mirrored_store = MirroredStore(
-            settings.name,
-            settings.zone,
+            self.settings.name,
+            self.settings.zone,
             self.store,
             self.leadership.replicas,
-            lambda: self.leadership.log.is_leading,
+            self._is_leading,
             self.places,
         )
         self.leader_watches = LeaderWatches(
-            self.store, self.mirrored_store.for_leader, health, self.leadership.replicas
+            self.store, self.mirrored_store.for_leader, self._health, self.leadership.replicas
         )
         self.leader_watches.follow_members(self._is_group_member)
+
+    def _make_duties(self) -> None:
+        """Make what this gateway does while it leads."""
+        settings = self.settings
         parts = DutyParts(
             leadership=self.leadership,
             engines=self.engines,
             front=self.front,
-            runner=runner,
+            runner=self._runner,
             orders=EngineOrders(settings.name, self.engines, HttpClient()),
             watches=self.leader_watches,
             metrics=self.metrics,
             lease_seconds=settings.durations.lease,
             keep_seconds=settings.durations.keep_steps,
             agreed=self.agreed,
-            usage=usage,
+            usage=usage_settings(settings),
             operator=operator_client(settings),
-            cold=cold,
+            cold=self._cold_engines,
             find_terms=self._rate_terms,
             scaling=scaling_settings(settings),
             is_held=self.suspects.is_held,
@@ -171,37 +201,44 @@
         )
         self.duties = LeaderDuties(parts)
         self.leadership.serve(self.duties)
+
+    def _make_watches(self) -> None:
+        """Make what every gateway follows in the store."""
+        settings = self.settings
         self.watches = GatewayWatches(
             self.mirrored_store,
-            health,
+            self._health,
             self.engines,
             self.front.in_force,
             self._view_changed,
-            lambda: self.leadership.log.is_leading,
+            self._is_leading,
             lambda: self.mirrored_store.follows_mirrors,
-            keys.wait_seconds,
+            self._keys.wait_seconds,
         )
         self.suspect_sharing = SuspectSharing(
             self.suspects,
             self.store,
             self.mirrored_store,
-            health,
+            self._health,
             self._view_changed,
-            lambda: self.leadership.log.is_leading,
+            self._is_leading,
             self.watches.longest_retry,
         )
         self.evacuations: EvacuationWatch | None = None
         if settings.evacuation.within:
             self.evacuations = EvacuationWatch(
                 self.mirrored_store,
-                health,
+                self._health,
                 self.engines,
                 {settings.zone, *settings.regions},
                 self._view_changed,
                 self.watches.longest_retry,
             )
+
+    def _make_pages(self) -> None:
+        """Make what gathers the figures that are shown."""
         self.sources = FigureSources(
-            name=settings.name,
+            name=self.settings.name,
             metrics=self.metrics,
             front=self.front,
             engines=self.engines,
@@ -217,6 +254,12 @@
             agreed=self.agreed,
         )
 
+    def _table(self) -> RouteTable | None:
+        return self.front.table
+
+    def _is_leading(self) -> bool:
+        return self.leadership.log.is_leading
+
     def _subscription(self) -> Subscribe:
         """Return what replicas keep of this gateway, for a leader to find it."""
         place = self.sockets.reached_at
@@ -228,7 +271,7 @@
             cores=self.settings.processor.speed,
         )
 
-    def _make_held_runs(self) -> LeaderlessRuns:
+    def _make_leaderless_runs(self) -> LeaderlessRuns:
         replicas = self.leadership.replicas
 
         def leader_epoch() -> int | None:
