--- a/src/pondtiller/gateway/callers/front.py
+++ b/src/pondtiller/gateway/callers/front.py
@@ -71,9 +71,9 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
-        self.open_exchanges += 1
         started = clock.monotonic()
         request = read_request(exchange.request)
+        self.open_exchanges += 1
         try:
             await self._answer(exchange, request)
         except (ConnectionLostError, h11.LocalProtocolError):
