--- a/src/pondtiller/rollouts/step_keys.py
+++ b/src/pondtiller/rollouts/step_keys.py
@@ -56,11 +56,16 @@
 
 
 def read_key(key: str) -> StepKey:
-    """Return what a key names; raises `ValueError` where it is no key of a step."""
+    """Return what a key names; raises `ValueError` where it is no key of a step.
+
+    A step's identifier may hold slashes; a position never does.
+    """
     name, _, rest = key.partition("/")
     kind = StepKeyKind(name)
-    step, _, position = rest.partition("/")
-    return StepKey(key, kind, step, int(position) if kind is StepKeyKind.RESULT else 0)
+    if kind is not StepKeyKind.RESULT:
+        return StepKey(key, kind, rest)
+    step, _, position = rest.rpartition("/")
+    return StepKey(key, kind, step, int(position))
 
 
 def restore_order(key: str) -> int:
@@ -71,8 +76,13 @@
 def keys_of_ended_steps(keys: Collection[str]) -> set[str]:
     """Return the keys of steps that have ended, and of their results: nobody works on them."""
     ended = {key.removeprefix(END_PREFIX) for key in keys if key.startswith(END_PREFIX)}
-    return {
-        key
-        for key in keys
-        if key.startswith((STEP_PREFIX, RESULT_PREFIX)) and key.split("/")[1] in ended
-    }
+    return {key for key in keys if _step_of(key) in ended}
+
+
+def _step_of(key: str) -> str | None:
+    """Return the step whose acceptance or result a key is; None for any other key."""
+    if key.startswith(STEP_PREFIX):
+        return key.removeprefix(STEP_PREFIX)
+    if key.startswith(RESULT_PREFIX):
+        return key.removeprefix(RESULT_PREFIX).rpartition("/")[0]
+    return None
--- a/src/pondtiller/rollouts/tests/test_steps.py
+++ b/src/pondtiller/rollouts/tests/test_steps.py
@@ -1,5 +1,7 @@
 """Steps: taken once, positions final, shown only when written, restored as they were."""
 
+import pytest
+
 from pondtiller.links.frames import FrameReader, encode, encode_message
 from pondtiller.rollouts.step_keys import keys_of_ended_steps, result_key, step_key
 from pondtiller.rollouts.step_record import add_sample
@@ -39,6 +41,25 @@
     assert (page.status, page.total, page.next_position) == (StepStatus.OK, 3, 0)
 
 
+@pytest.mark.parametrize("identifier", ["a/b", "a/", "/", "a/000001"])
+def test_a_step_may_have_slashes_in_its_identifier(identifier: str) -> None:
+    book = StepBook()
+    book.open(make_step(identifier))
+    entries = commit_all(book)
+    assert book.read(identifier, 0).status == StepStatus.OK
+    done = SampleResult(id=f"{identifier}-0", succeeded=True, text="t", versions=[2], score="x")
+    book.list_result(identifier, done)
+    entries += commit_all(book)
+    assert listed(book.read(identifier, 0)) == [f"{identifier}-0"]
+    successor = StepBook()
+    assert successor.restore(entries) == []
+    assert listed(successor.read(identifier, 0)) == [f"{identifier}-0"]
+    book.end(identifier)
+    entries += commit_all(book)
+    keys = {entry.key for entry in entries}
+    assert keys_of_ended_steps(keys) == {step_key(identifier), result_key(identifier, 0)}
+
+
 def test_a_step_that_comes_again_is_taken_once() -> None:
     book = StepBook()
     first = book.open(make_step())
