--- a/src/pondtiller/gateway/engines/suspect_sharing.py
+++ b/src/pondtiller/gateway/engines/suspect_sharing.py
@@ -103,7 +103,7 @@
     # What others tell
 
     async def _replace(self, found: tuple[StoreObject, ...]) -> None:
-        """Take all contents; one that is not listed was removed, unless it is still to be told."""
+        """Take all contents; one that is not listed was removed, unless it waits to be shared."""
         listed = {each.name for each in found}
         self._kept_until.clear()
         for content in list(self._suspects.quarantine.suspects):
--- a/src/pondtiller/gateway/engines/suspects.py
+++ b/src/pondtiller/gateway/engines/suspects.py
@@ -18,18 +18,18 @@
 """How long a first end is kept to itself. Most requests that broke off with an engine are answered
 by the next one within this time, and then there is nothing to write."""
 SOON_ENDS = 2
-"""Ends from which on each is told at once: no engine may get the content any more, or one may."""
+"""Ends from which on each is shared at once: no engine may get the content any more, or one may."""
 
 
 class SuspectContents:
-    """Asked before a request leaves, and told how its runs end.
+    """What this gateway knows of contents, asked before a request leaves.
 
     Attributes
     ----------
     untold
-        Contents whose news others must hear, with the steady time by which to tell.
+        Contents to be shared with others, with the steady time by which to do so.
     has_news
-        Set when something is to be told.
+        Set when something is to be shared.
     """
 
     def __init__(self, metrics: GatewayMetrics) -> None:
--- a/src/pondtiller/routes/engines.py
+++ b/src/pondtiller/routes/engines.py
@@ -17,6 +17,7 @@
 
 from pondtiller.address import Address
 from pondtiller.routes.concurrency_limit import ConcurrencyLimit
+from pondtiller.routes.engine_starts import EngineStarts
 from pondtiller.routes.places import Places
 
 SUSPECT_SECONDS = 1.0
@@ -40,8 +41,6 @@
 """
 EVACUATED_PAUSE_SECONDS = 0.5
 """After another daemon refused to send there: this one learns of the evacuation within seconds."""
-REMEMBER_LEFT_SECONDS = 30.0
-"""How long an engine's end is known, so that a late order to run something there is refused."""
 ANSWER_WEIGHT = 0.2
 """Weight of the last answer in an engine's smoothed time. Chosen, not measured: an engine that
 turns slow is known after about five answers, and one slow answer is not enough.
@@ -266,9 +265,7 @@
         self.awaits_evacuations = False
         self.engines: dict[str, Engine] = {}
         self._by_service: dict[str, dict[str, Engine]] = {}
-        self._left_at: dict[str, float] = {}
-        self._current: dict[str, str] = {}
-        self._earlier: set[str] = set()
+        self._starts = EngineStarts()
         self.starts_again = 0
         self.services: frozenset[str] | None = None
         self.revision = 0
@@ -308,7 +305,7 @@
     def gone(self, name: str, now: float) -> None:
         """Take the end of an engine's entry."""
         self.revision += 1
-        self._entry_gone(self._current.get(name, name), now)
+        self._entry_gone(self._starts.latest(name), now)
 
     def unread(self, name: str) -> None:
         """Take an entry that cannot be read: the engine gets nothing new, what runs there goes on.
@@ -322,26 +319,23 @@
 
     def current(self, name: str) -> Engine | None:
         """Return the start of an engine that is known last."""
-        return self.engines.get(self._current.get(name, name))
+        return self.engines.get(self._starts.latest(name))
 
     def has_started_again(self, identifier: str) -> bool:
         """Return whether a later start of an engine is known: nothing of this one goes on."""
-        return identifier in self._earlier
+        return self._starts.is_superseded(identifier)
 
     def has_left(self, identifier: str, now: float) -> bool:
         """Return whether an engine is known to leave, or to be gone; an unknown one is not."""
         engine = self.engines.get(identifier)
         if engine is None:
-            return identifier in self._left_at
+            return self._starts.has_left(identifier)
         is_gone = engine.gone_at is not None and now >= engine.gone_at + SUSPECT_SECONDS
         return is_gone or engine.entry.state is EngineState.LEAVING
 
     def keep_house(self, now: float) -> None:
         """Drop old paces, and engines whose entries went some time ago and have no work."""
-        for identifier, left_at in list(self._left_at.items()):
-            if now > left_at + REMEMBER_LEFT_SECONDS:
-                del self._left_at[identifier]
-                self._earlier.discard(identifier)
+        self._starts.keep_house(now)
         for engine in list(self.engines.values()):
             engine.forget_pace(now)
             if engine.gone_at is None or now < engine.gone_at + SUSPECT_SECONDS:
@@ -400,8 +394,7 @@
             else:
                 self._supersede(before, now)
         identifier = entry.identifier
-        self._current[entry.engine] = identifier
-        self._left_at.pop(identifier, None)
+        self._starts.note_entry(entry.engine, identifier)
         engine = self.engines.get(identifier)
         if engine is None:
             engine = self.engines[identifier] = Engine(entry)
@@ -415,13 +408,11 @@
     def _supersede(self, engine: Engine, now: float) -> None:
         """Take that an engine has started again: its earlier start gets nothing, and has ended."""
         self.starts_again += 1
-        self._left_at[engine.identifier] = now
-        self._earlier.add(engine.identifier)
+        self._starts.note_superseded(engine.identifier, now)
         self._forget(engine)
 
     def _forget(self, engine: Engine) -> None:
-        if self._current.get(engine.entry.engine) == engine.identifier:
-            del self._current[engine.entry.engine]
+        self._starts.forget(engine.entry.engine, engine.identifier)
         del self.engines[engine.identifier]
         del self._by_service[engine.entry.service][engine.identifier]
 
@@ -429,7 +420,7 @@
         engine = self.engines.get(identifier)
         if engine is None:
             return
-        self._left_at[identifier] = now
+        self._starts.note_left(identifier, now)
         if engine.entry.state is EngineState.LEAVING and engine.running == 0:
             self._forget(engine)
         elif engine.gone_at is None:
