--- a/src/pondtiller/gateway/leader/leadership.py
+++ b/src/pondtiller/gateway/leader/leadership.py
@@ -179,7 +179,7 @@
         await self._carry_out()
 
     async def read_rest(self) -> None:
-        """Read the values that were not needed to lead, now that the duties have begun."""
+        """Read the values that were not needed to lead, now that the term has begun."""
         self.log.holds_back = False
         await self._wake.set()
 
@@ -220,12 +220,12 @@
 
     async def _consider_standing(self, now: float) -> None:
         views = self.replicas.views()
-        view = CandidateView(
+        candidate = CandidateView(
             self.may_stand and not self._has_resigned,
             bool(views),
             self.replicas.leader() is not None,
         )
-        if not self._candidacy.is_due(view, now, self._stand_delay):
+        if not self._candidacy.is_due(candidate, now, self._stand_delay):
             return
         group = Group()
         known = max((view.group for view in views), key=lambda each: each.generation)
--- a/src/pondtiller/gateway/leader/term.py
+++ b/src/pondtiller/gateway/leader/term.py
@@ -3,11 +3,10 @@
 Owns the parts of one term, and the order in which decisions are made and carried out. What must
 outlive the term is in the step log; the rest ends with it. The rules are in `rollouts/`: which
 sample runs where in `samples.py`, which engine loads which version in `versions.py`; here they are
-asked. Runs are `sample_runs.py`'s, unfinished texts `unfinished_texts.py`'s.
+asked. Runs are `sample_runs.py`'s, unfinished texts `unfinished_texts.py`'s, orders to
+engines `version_orders.py`'s.
 """
 
-from functools import partial
-
 import curio
 from betterproto import Message
 
@@ -22,6 +21,7 @@
 from pondtiller.gateway.leader.tick_pacing import LONGEST_GAP_SECONDS, TickPacing
 from pondtiller.gateway.leader.unfinished_texts import UnfinishedTexts
 from pondtiller.gateway.leader.usage_duty import UsageDuty, UsageParts
+from pondtiller.gateway.leader.version_orders import VersionOrders
 from pondtiller.links.link import LinkLostError
 from pondtiller.process import clock, logs
 from pondtiller.process.spawner import Spawner
@@ -34,7 +34,7 @@
 )
 from pondtiller.rollouts.samples import SampleScheduler
 from pondtiller.rollouts.steps import STEP_PREFIX, StepBook, StepRecord, StepStatus
-from pondtiller.rollouts.versions import AskEngine, OrderVersion, VersionSteward
+from pondtiller.rollouts.versions import VersionSteward
 from pondtiller.routes.cold import QUIET_SECONDS
 from pondtiller.routes.table import RouteTable
 from pondtiller.steplog.entry import Entry
@@ -126,6 +126,9 @@
         self.orders = OrderRights(
             parts.leadership, parts.engines, self.steward, won, parts.lease_seconds
         )
+        self._version_orders = VersionOrders(
+            won.epoch, self.steward, self.orders, parts.orders, parts.metrics, self.wake
+        )
         self.rates = RateDuty(won.epoch, parts.find_terms)
         self.scheduler.placement.cold_from = clock.monotonic() + QUIET_SECONDS
         self.usage = self._make_usage(
@@ -378,7 +381,7 @@
 
     async def _carry_out(self) -> None:
         for order in self.steward.take():
-            await self._group.spawn(self._order, order)
+            await self._group.spawn(self._version_orders.carry_out, order)
         for instruction in self.scheduler.take():
             match instruction:
                 case StartRun():
@@ -420,23 +423,7 @@
                 continue
         return None
 
-    async def _order(self, order: OrderVersion | AskEngine) -> None:
-        if isinstance(order, AskEngine):
-            report = await self._parts.orders.ask(order.engine)
-            if report is not None:
-                self.steward.reported(
-                    order.engine, report.models, report.orders_taken, report.is_busy
-                )
-        elif await self.orders.note(order.engine):
-            self._metrics.orders += 1
-            is_taken = await self._parts.orders.order(
-                order, self.epoch, partial(self.orders.may_order, order.engine)
-            )
-            if is_taken is not None:
-                self.steward.answered(order.engine, is_taken, clock.monotonic())
-        await self.wake.set()
-
-    # House-keeping
+    # Housekeeping
 
     async def _expire(self) -> None:
         keep = self._parts.keep_seconds + KEEP_MARGIN_SECONDS
--- a/tools/bench_samples.py
+++ b/tools/bench_samples.py
@@ -82,6 +82,7 @@
         "/term.py",
         "/sample_runs.py",
         "/unfinished_texts.py",
+        "/version_orders.py",
         "/step_waiters.py",
         "/rollouts/steps.py",
         "/duties.py",
