--- a/src/pondtiller/cli/tests/test_explain.py
+++ b/src/pondtiller/cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Stories from logs: order, the deciding line, packed and broken files, unknown identifiers."""
+"""Histories from logs: order, the deciding line, packed and broken files, unknown identifiers."""
 
 import gzip
 from pathlib import Path
@@ -30,7 +30,7 @@
     return plain, packed
 
 
-def test_a_sample_is_told_in_order_with_the_line_that_decided(tmp_path: Path) -> None:
+def test_lines_of_a_sample_are_shown_in_order_with_the_deciding_one(tmp_path: Path) -> None:
     tester = run("s1", *logs(tmp_path))
     shown = tester.io.fetch_output().splitlines()
     assert [line.split()[0] for line in shown[:3]] == ["10.000", "20.500", "30.000"]
--- a/src/pondtiller/cli/tests/test_table_evacuate.py
+++ b/src/pondtiller/cli/tests/test_table_evacuate.py
@@ -27,7 +27,7 @@
     curio.run(main)
 
 
-def test_a_store_that_does_not_answer_is_told_with_its_exit_code() -> None:
+def test_a_store_that_does_not_answer_is_reported_with_its_exit_code() -> None:
     tester = CommandTester(build().find("table evacuate"))
     assert tester.execute("b --store 127.0.0.1:1") == 3
     assert "give it again" in tester.io.fetch_error()
--- a/src/pondtiller/replica/tests/test_disk_full.py
+++ b/src/pondtiller/replica/tests/test_disk_full.py
@@ -23,7 +23,7 @@
 
 
 class FakeLink:
-    """Keeps what it is told to send."""
+    """Keeps what is sent on it."""
 
     def __init__(self) -> None:
         self.replies: list[Message] = []
--- a/src/pondtiller/store/tests/test_mirror.py
+++ b/src/pondtiller/store/tests/test_mirror.py
@@ -62,7 +62,7 @@
     curio.run(main)
 
 
-def test_a_kind_that_nobody_asked_for_is_not_told() -> None:
+def test_a_kind_that_is_not_followed_is_not_answered() -> None:
     async def main() -> None:
         mirror = StoreMirror(Store(""), lambda: 10.0)
         task = await curio.spawn(mirror.run)
--- a/src/pondtiller/table/tests/test_edits.py
+++ b/src/pondtiller/table/tests/test_edits.py
@@ -112,7 +112,10 @@
 
 
 def test_old_read_does_not_settle_a_lost_write():
-    """Found by `simulate chaos`, kyushu, seed 323: told refused, and in the table."""
+    """An edit that is in the table is not reported as refused.
+
+    Seen in `simulate chaos`, deployment kyushu, seed 323.
+    """
     editor = editor_after_lost_write()
     old = apply_edit(SHEET, edit(change("weight", "2.0", "9.0"), edit_id="x")).unwrap()
     editor.note_read(4, old.model_dump_json().encode())
--- a/tools/tests/test_check_imports.py
+++ b/tools/tests/test_check_imports.py
@@ -11,7 +11,7 @@
 SPEC.loader.exec_module(CHECK)
 
 
-def test_a_circle_is_told_once_however_it_is_entered() -> None:
+def test_a_circle_is_reported_once_wherever_it_is_entered() -> None:
     imports = {"a": {"b"}, "b": {"c"}, "c": {"b", "d"}, "d": set()}
     assert CHECK.circles(imports) == ["circle: b -> c -> b"]
 
