--- a/src/pondtiller/cli/application.py
+++ b/src/pondtiller/cli/application.py
@@ -1,4 +1,8 @@
-"""Entry point: all commands by their fixed names."""
+"""Entry point: all commands by their fixed names.
+
+Names and options of commands are an interface to operators' scripts. What a command does is in the
+module of its name.
+"""
 
 from cleo.application import Application
 
--- a/src/pondtiller/cli/demo.py
+++ b/src/pondtiller/cli/demo.py
@@ -1,4 +1,8 @@
-"""`pondtiller demo`: everything in one process, a burst, and a verdict."""
+"""`pondtiller demo`: everything in one process, a burst, and a verdict.
+
+Prints what `serve.demo.run` reports; ends with an error where a property is broken or a request
+stays without an answer.
+"""
 
 import curio
 from cleo.commands.command import Command
--- a/src/pondtiller/cli/emulate.py
+++ b/src/pondtiller/cli/emulate.py
@@ -1,4 +1,8 @@
-"""`pondtiller emulate`: the stand-ins of a deployment on loopback, in one process."""
+"""`pondtiller emulate`: the stand-ins of a deployment on loopback, in one process.
+
+For daemons that are started by hand with `pondtiller serve`; `demo` starts both. Everything is lost
+when it ends.
+"""
 
 import sys
 
--- a/src/pondtiller/cli/explain.py
+++ b/src/pondtiller/cli/explain.py
@@ -1,4 +1,9 @@
-"""`pondtiller explain`: what the logs of many machines say of one identifier."""
+"""`pondtiller explain`: what the logs of many machines say of one identifier.
+
+Reads log files only, also packed or broken ones, and asks no process. Lines are ordered by the time
+of day of the machine that wrote each, so lines of different machines may stand in a wrong order by
+as much as their clocks differ.
+"""
 
 import gzip
 import re
--- a/src/pondtiller/cli/simulate.py
+++ b/src/pondtiller/cli/simulate.py
@@ -1,4 +1,8 @@
-"""`pondtiller simulate`: a named scenario on the virtual clock, for one seed or many."""
+"""`pondtiller simulate`: a named scenario on the virtual clock, for one seed or many.
+
+Prints measures and violations. A seed gives the same bytes on every machine, so a seed that shows a
+fault is enough to find it again.
+"""
 
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
--- a/src/pondtiller/cli/soak.py
+++ b/src/pondtiller/cli/soak.py
@@ -1,4 +1,8 @@
-"""`pondtiller soak`: the real programs as processes under drawn faults."""
+"""`pondtiller soak`: the real programs as processes under drawn faults.
+
+Reads the options and prints the report; faults, callers and promises are `soak`'s. The seed draws
+the faults, not the timing of processes: unlike `simulate`, a second run may differ.
+"""
 
 import json
 import tempfile
--- a/src/pondtiller/cli/table_evacuate.py
+++ b/src/pondtiller/cli/table_evacuate.py
@@ -1,4 +1,8 @@
-"""`pondtiller table evacuate`: nothing new to a zone's engines on the platform, until ended."""
+"""`pondtiller table evacuate`: nothing new to a zone's engines on the platform, until ended.
+
+Writes or removes one object in the platform's store and does not wait until gateways follow it
+(`store.evacuation_bounds` says how long that takes at most). Giving it twice changes nothing.
+"""
 
 import curio
 from cleo.commands.command import Command
--- a/src/pondtiller/cli/table_status.py
+++ b/src/pondtiller/cli/table_status.py
@@ -1,4 +1,8 @@
-"""`pondtiller table status`: the table in force at one gateway, filled with status."""
+"""`pondtiller table status`: the table in force at one gateway, filled with status.
+
+Asks that gateway's readiness address and prints its answer; counts of other gateways are not in it.
+For the daemons of `serve` there is `table show`.
+"""
 
 import curio
 from cleo.commands.command import Command
