--- a/Makefile
+++ b/Makefile
@@ -44,6 +44,8 @@
 	$(PYTHON) tools/check_imports.py
 	$(PYTHON) tools/check_platform_words.py
 	$(PYTHON) tools/check_events.py
+	$(PYTHON) tools/check_metrics.py
+	$(PYTHON) tools/check_constants.py
 	$(PYTHON) tools/check_generated.py
 
 format: $(READY)
--- a/src/pondtiller/gateway/tests/system.py
+++ b/src/pondtiller/gateway/tests/system.py
@@ -55,6 +55,7 @@
         self.keys = keys or Keys()
         self.group = Spawner()
         self.tasks: dict[Any, Any] = {}
+        self.stalls: list[float] = []
         self.store = StandInStore()
         self.app = [StandInEngine(f"a{number}", "app") for number in range(2)]
         self.llm = [StandInEngine(f"m{number}", "llm") for number in range(2)]
@@ -200,14 +201,14 @@
     async def main() -> None:
         system = System(folder, gateways, replicas, use_window, keys, evacuate_within, scaling)
         await system.start(with_configuration)
-        stalls: list[float] = []
-        watch = await curio.spawn(note_stalls, stalls)
+        watch = await curio.spawn(note_stalls, system.stalls)
         try:
             await curio.timeout_after(40.0, test, system)
         finally:
             await watch.cancel()
             # Shown where a test fails: all parts share this process, and waits of theirs are real.
-            print(f"this process stood still for {max(stalls, default=0.0):.3f} s at the longest")
+            longest = max(system.stalls, default=0.0)
+            print(f"this process stood still for {longest:.3f} s at the longest")
             await system.stop()
 
     curio.run(main)
--- a/src/pondtiller/gateway/tests/test_rates.py
+++ b/src/pondtiller/gateway/tests/test_rates.py
@@ -6,6 +6,8 @@
 import curio
 import pytest
 
+from pondtiller.coordination.rate_shares import WINDOW_SECONDS
+from pondtiller.gateway.callers.tenant_rates import WAIT_SECONDS
 from pondtiller.gateway.tests.let_through import LetThrough
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_tenants import ANN, BOB, KEYS, until_in_force
@@ -18,6 +20,8 @@
 SUBJECT = subject_of("ann")
 MOST = 11
 """In any second, with an excess of a tenth."""
+MOST_BURSTS = 3
+"""Bursts until one is undisturbed: each costs 8 s of the 40 s that a test has."""
 
 
 def put_rate(system: System, version: int, rate: float) -> None:
@@ -66,6 +70,21 @@
                 await group.spawn(self.call)
             await self.system.until(lambda: len(self.answers) >= expected, 15.0)
 
+    async def undisturbed_burst(self, calls: int) -> list[Any]:
+        """Return the answers of a burst during which this process did not stand still.
+
+        All parts share the process. A stall that outlasts the wait for a share is answered 503, and
+        one that outlasts the shares themselves 429 to each call: both are true.
+        """
+        for _ in range(MOST_BURSTS):
+            first, looks = len(self.answers), len(self.system.stalls)
+            await self.burst(calls)
+            if max(self.system.stalls[looks:], default=0.0) < WAIT_SECONDS / 2:
+                return self.answers[first:]
+            await curio.sleep(2 * WINDOW_SECONDS)
+            await until_granted(self.system)
+        raise AssertionError("the process stood still in each burst")
+
     def count(self, status: int) -> int:
         return sum(answer.status == status for answer in self.answers)
 
@@ -85,13 +104,11 @@
 
     async def test(system: System) -> None:
         ann = await limited(system)
-        await ann.burst(60)
-        assert {answer.status for answer in ann.answers} == {200, 429}
+        answers = await ann.undisturbed_burst(60)
+        assert {answer.status for answer in answers} == {200, 429}
         assert MOST // 2 <= through.most_in_a_second(SUBJECT) <= MOST
         pauses = [
-            float(dict(answer.headers)["retry-after"])
-            for answer in ann.answers
-            if answer.status == 429
+            float(dict(answer.headers)["retry-after"]) for answer in answers if answer.status == 429
         ]
         assert all(0.0 < pause <= 1.1 for pause in pauses)
         seen = sum(len(engine.seen) for engine in system.app)
