--- a/src/pondtiller/gateway/leader/duty_settings.py
+++ b/src/pondtiller/gateway/leader/duty_settings.py
@@ -1,4 +1,4 @@
-"""What a leader's duties towards the operator are, by a gateway's settings."""
+"""What a leader does for the operator, by a gateway's settings; owns nothing."""
 
 from pondtiller.address import to_address
 from pondtiller.gateway.leader.scaling_duty import ScalingSettings
--- a/src/pondtiller/gateway/leader/run_links.py
+++ b/src/pondtiller/gateway/leader/run_links.py
@@ -240,10 +240,10 @@
     Parameters
     ----------
     heard_at
-        When it last told anything, in seconds of the steady clock, as all times here.
+        When its last message came, in seconds of the steady clock, as all times here.
     dropped_at
-        When it was asked to end runs that it has not ended yet: it tells of others and still does
-        not do as it is asked.
+        When it was asked to end runs that it has not ended yet: it may send news of others all the
+        same.
     """
     return now > min([heard_at, *dropped_at]) + RUNNER_SILENT_SECONDS
 
--- a/src/pondtiller/gateway/leader/run_offers.py
+++ b/src/pondtiller/gateway/leader/run_offers.py
@@ -25,7 +25,7 @@
 way for 20 ms at most, a runner looks each 0.05 s, connects and offers its runs in 60 ms. In two
 regions the last of nine offers came 0.16 s after the election."""
 FRESH_START_SECONDS = 2.0
-"""A start of all machines has a leader 0.7 s to 1.1 s after the gateways' own (note 23)."""
+"""A start of all machines has a leader 0.7 s to 1.1 s after the gateways' own."""
 
 COME_AGAIN_SECONDS = 0.25
 """From the reading of the texts until runners that offered before it must have offered again: they
--- a/src/pondtiller/gateway/leader/runner_directory.py
+++ b/src/pondtiller/gateway/leader/runner_directory.py
@@ -25,7 +25,7 @@
 CONNECT_LOOK_SECONDS = 0.01
 """How often one who waits for a connection looks; a connection in a zone takes 3 ms."""
 DAEMONS_CALL_SECONDS = 0.5
-"""How long a replica may take to tell of the gateways; then the next one is asked. Chosen, not
+"""How long a replica may take to answer with the gateways; then the next one is asked. Chosen, not
 measured: ten times an answer from another region, and half of `FIND_SECONDS`."""
 
 AskMember = Callable[[Message, float], Awaitable[Message | None]]
@@ -93,7 +93,7 @@
         found = self.links.get(daemon.name)
         return found if found is not None and not found.link.is_lost else None
 
-    def bearers(self, most: int) -> list[Link]:
+    def relays(self, most: int) -> list[Link]:
         """Return the links of some connected gateways, of different zones where there are."""
         by_zone = {each.daemon.zone: each for each in self.links.values()}
         ordered = [*by_zone.values(), *self.links.values()]
--- a/src/pondtiller/gateway/leader/unfinished_texts.py
+++ b/src/pondtiller/gateway/leader/unfinished_texts.py
@@ -24,7 +24,7 @@
 Seven ways there and back between regions (40 ms). Chosen, not measured: a member that is gone costs
 a new leader's samples so long, and one that is asked in vain only its answer."""
 
-MOST_BEARERS = 6
+MOST_RELAYS = 6
 """Runners that pass on the texts of a leader that replicas do not hear, each a part of them: 50
 long texts are 1 MB, five times as much to five members, and a successor reads them soon."""
 
@@ -75,13 +75,13 @@
         meanwhile. No successor leads before `LEASE_MARGIN_SECONDS` later, so it finds them.
         """
         samples = ProgressSaver().news(0, self._scheduler.work.values(), clock.monotonic(), True)
-        bearers = self._runners.bearers(MOST_BEARERS) if samples else []
-        logs.decision("texts_handed_over", epoch=self._epoch, texts=len(samples), to=len(bearers))
-        for place, link in enumerate(bearers):
-            part = samples[place :: len(bearers)]
+        relays = self._runners.relays(MOST_RELAYS) if samples else []
+        logs.decision("texts_handed_over", epoch=self._epoch, texts=len(samples), to=len(relays))
+        for place, link in enumerate(relays):
+            part = samples[place :: len(relays)]
             await link.send(SaveProgress(epoch=self._epoch, samples=part))
         give_up = clock.monotonic() + HAND_OVER_SECONDS
-        while any(each.has_unsent for each in bearers) and clock.monotonic() < give_up:
+        while any(each.has_unsent for each in relays) and clock.monotonic() < give_up:
             await curio.sleep(HAND_OVER_SECONDS / 10)
 
     async def read(self, samples: Iterable[str]) -> None:
--- a/src/pondtiller/gateway/tests/test_runs_elsewhere.py
+++ b/src/pondtiller/gateway/tests/test_runs_elsewhere.py
@@ -101,7 +101,7 @@
     No run is held for the successor here: this is the way of those whose runner is lost too.
     """
     if not is_on:
-        monkeypatch.setattr(unfinished_texts, "MOST_BEARERS", 0)
+        monkeypatch.setattr(unfinished_texts, "MOST_RELAYS", 0)
     monkeypatch.setattr(run_holding, "LONGEST_SECONDS", 0.0)
 
     async def unheard(*_given: object) -> None:
@@ -143,15 +143,15 @@
             engine.events, engine.event_seconds = 60, 0.05
         assert await system.submit("s1", samples=4) == 202
         await system.until(lambda: any(each.text.events for each in term.scheduler.work.values()))
-        bearers = term.runners.bearers(unfinished_texts.MOST_BEARERS)
-        assert len(bearers) == 2
-        for link in bearers:
+        relays = term.runners.relays(unfinished_texts.MOST_RELAYS)
+        assert len(relays) == 2
+        for link in relays:
             push, link._push = link._push, lambda: None
             if takes:
                 await curio.spawn(_take_later, link, push, daemon=True)
         await hand_over(term.texts)
         assert waits.seconds < unfinished_texts.HAND_OVER_SECONDS * 1.2
-        assert all(each.has_unsent is not takes for each in bearers)
+        assert all(each.has_unsent is not takes for each in relays)
 
     run_system(tmp_path, test, gateways=3)
 
--- a/src/pondtiller/peers/leader_client.py
+++ b/src/pondtiller/peers/leader_client.py
@@ -97,7 +97,7 @@
     async def read(self, step: str, position: int, wait: float) -> ResultsPage:
         """Read results from a position; may be held until there is one.
 
-        What was read before is not asked for again, and is told also without a leader.
+        What was read before is not asked for again, and is returned also without a leader.
         """
         kept = self.cache.page(step, position, StepStatus.OK, LARGEST_PAGE_BYTES)
         if kept.results and self._is_enough(kept):
--- a/src/pondtiller/peers/result_cache.py
+++ b/src/pondtiller/peers/result_cache.py
@@ -1,7 +1,7 @@
 """Results of steps that this gateway has read from the leader before.
 
 A listed result never changes and never leaves its position, so what was read once need not
-cross zones again; and it can be told while no leader is known.
+cross zones again; and it can be returned while no leader is known.
 """
 
 from collections import OrderedDict
@@ -43,7 +43,7 @@
     Attributes
     ----------
     hits
-        Results that were told without asking for them again.
+        Results that were returned without asking for them again.
     """
 
     def __init__(self, most_bytes: int = MOST_CACHED_BYTES) -> None:
--- a/src/pondtiller/peers/usage_teller.py
+++ b/src/pondtiller/peers/usage_teller.py
@@ -16,7 +16,7 @@
 from pondtiller.wire.steplog import UseTaken, UseTold
 
 LOOK_SECONDS = 0.1
-"""Between two looks whether there is something to tell. Chosen, not measured: a fifth of
+"""Between two looks whether there is something to send. Chosen, not measured: a fifth of
 `TELL_SECONDS`."""
 TELL_SECONDS = 0.5
 """How long counts are gathered: what is lost of them where this process is killed."""
@@ -26,7 +26,9 @@
 """How long the leader may take to answer. Chosen, not measured: many times an answer from another
 region (40 ms), and what was not taken is sent again."""
 SPREAD_SECONDS = 0.6
-"""Over this time after the end of a window the gateways tell that they have counted all of it."""
+"""Over this time after the end of a window the gateways say that they have counted all of it.
+
+Spreads their calls to one leader. Chosen, not measured."""
 HASH_SPAN = 1 << 64
 """Values of `hashing.score`, without unit: divides one into a part of `SPREAD_SECONDS`."""
 
--- a/src/pondtiller/steplog/fault_tolerance.py
+++ b/src/pondtiller/steplog/fault_tolerance.py
@@ -2,7 +2,7 @@
 
 A group bears a loss where the members that are left are a write quorum of the whole group: then
 no acknowledged value is gone, and writes go on. Machines, zones and regions are each counted
-alone: the settings tell of so many machines, or so many zones, or so many regions.
+alone: the settings name so many machines, or so many zones, or so many regions.
 """
 
 from collections import Counter
@@ -43,7 +43,7 @@
 
 
 USUAL_RULES = PlaceRules()
-"""One replica may be lost; nothing is told of places."""
+"""One replica may be lost; no places are known."""
 
 
 def shortfall(members: Iterable[GroupMember], size: int, rules: PlaceRules) -> int:
--- a/src/pondtiller/steplog/follower.py
+++ b/src/pondtiller/steplog/follower.py
@@ -20,7 +20,7 @@
     Attributes
     ----------
     keys
-        Epoch of each key that it holds, as its promise told; None until it promised.
+        Epoch of each key that it holds, as its promise said; None until it promised.
     is_synced
         Whether it was sent everything, and gets every write.
     acked
--- a/src/pondtiller/steplog/leader.py
+++ b/src/pondtiller/steplog/leader.py
@@ -269,7 +269,7 @@
         first_group
             Group to form where the replicas hold none yet.
         known
-            Newest group that any replica told of; others that promises tell of are asked too.
+            Newest group that any replica named; members of others that promises name are asked too.
             All connected replicas are asked where no group is known.
         """
         self._reset()
--- a/src/pondtiller/steplog/order_notes.py
+++ b/src/pondtiller/steplog/order_notes.py
@@ -71,11 +71,11 @@
     Parameters
     ----------
     noted_at
-        Latest time at which a replica may have been told of a note, by key.
+        Latest time at which a replica may have received a note, by key.
     keys
         All notes in the log.
     latest
-        Time that counts for a note of which no replica told its age.
+        Time that counts for a note of which no replica sent its age.
     """
     found: dict[str, LastOrder] = {}
     for key in sorted(keys):
--- a/src/pondtiller/steplog/replica.py
+++ b/src/pondtiller/steplog/replica.py
@@ -100,7 +100,7 @@
     special
         Those of them that say who decides: groups, and holders of the right to order.
     noted_at
-        When this process was told of each note of an order, by key.
+        When this process received each note of an order, by key.
     """
 
     member: GroupMember
@@ -189,7 +189,7 @@
         return ViewState(self.promised, leader, self.special_revision)
 
     def view(self, now: float) -> ReplicaView:
-        """Return what subscribers are told."""
+        """Return what subscribers are sent."""
         groups = self.groups
         is_held = now < self.lease.until
         return ReplicaView(
--- a/src/pondtiller/steplog/takeover_reads.py
+++ b/src/pondtiller/steplog/takeover_reads.py
@@ -12,7 +12,7 @@
 """Values in one message of a takeover: heartbeats get through between them.
 
 Answers a log of 8 MB in one answer a replica, which took 1.2 s on a link of 100 Mbit/s, longer
-than a lease. 64 values of about 6 KB take some 30 ms there. Chosen, not measured."""
+than a lease. 64 values of about 6 KB take 31 ms there (worked out). Chosen, not measured."""
 
 
 class Fetches:
--- a/src/pondtiller/steplog/term_rules.py
+++ b/src/pondtiller/steplog/term_rules.py
@@ -28,8 +28,9 @@
 """How long a takeover may go without an answer that brings it on before the candidate gives up.
 
 Counted from the last progress, not from the start: reading 1,568 values over a link of 100 Mbit/s
-took 1.2 s, longer than a lease, and fourteen terms of that day ended in it. The figure itself is
-chosen, not measured: an answer takes less than 1.0 s also where a log is read on a slow machine."""
+took 1.2 s, longer than a lease, and fourteen terms in 20 s served no step. The figure itself is
+chosen, not measured: more than two leases, so that a candidate that others refuse does not end
+before their leases do."""
 
 
 class TermState(NamedTuple):
--- a/src/pondtiller/steplog/voting.py
+++ b/src/pondtiller/steplog/voting.py
@@ -1,7 +1,7 @@
 """The groups whose quorums count for a leader, and the disks that are known to be lost. No I/O.
 
 Owns the group in force, the one that is to replace it, and during a takeover the groups that
-promises told of. Lasts for one term, but for the lost disks, which a process knows until it ends.
+promises named. Lasts for one term, but for the lost disks, which a process knows until it ends.
 Which members a group should have is decided in `group_policy.py`.
 """
 
