--- a/src/pondtiller/steplog/term_rules.py
+++ b/src/pondtiller/steplog/term_rules.py
@@ -29,8 +29,8 @@
 
 Counted from the last progress, not from the start: reading 1,568 values over a link of 100 Mbit/s
 took 1.2 s, longer than a lease, and fourteen terms in 20 s served no step. The figure itself is
-chosen, not measured: more than two leases, so that a candidate that others refuse does not end
-before their leases do."""
+chosen, not measured: more than two leases, for replicas that are slow to read or to sync; while a
+candidate waits, it holds others off."""
 
 
 class TermState(NamedTuple):
