--- a/src/pondtiller/gateway/callers/attempts.py
+++ b/src/pondtiller/gateway/callers/attempts.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from pondtiller.errors import Ran
-from pondtiller.platform.engine_format import Headers
+from pondtiller.platform.headers import Headers
 from pondtiller.routes.engine_choice import Wanted
 from pondtiller.routes.engines import Engine
 from pondtiller.routes.live_attempts import AttemptEnd, HedgeInputs, WaitInputs
--- a/src/pondtiller/gateway/callers/forward.py
+++ b/src/pondtiller/gateway/callers/forward.py
@@ -25,7 +25,7 @@
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.httpio.client import BrokenError, NotSentError
-from pondtiller.platform import engine_format
+from pondtiller.platform import engine_answers
 from pondtiller.process import clock, logs
 from pondtiller.routes.engine_choice import EngineChoice
 from pondtiller.routes.engines import Engine, EngineDirectory
@@ -262,7 +262,7 @@
             is_unanswered = False
             self.zones.note_heard(engine)
             body = b"".join([piece async for piece in connection.read_body()])
-            if engine_format.is_not_run(head.status, head.headers):
+            if engine_answers.is_not_run(head.status, head.headers):
                 attempts.sent -= 1
                 request.beginning.refused()
             else:
@@ -316,7 +316,7 @@
         """Take a refusal; one that says that the engine is another start tells nothing of room."""
         now = clock.monotonic()
         engine.note_refusal(now)
-        if answer.status != engine_format.MISDIRECTED:
+        if answer.status != engine_answers.MISDIRECTED:
             engine.limit.note_late(engine.running + 1, route.objective_seconds, now)
 
     def _exhausted(self, whole: WholeRequest, queue: LiveQueue) -> WholeAnswer | Failure:
@@ -363,8 +363,8 @@
 def _facts(answer: WholeAnswer) -> AnswerFacts:
     return AnswerFacts(
         status=answer.status,
-        is_not_run=engine_format.is_not_run(answer.status, answer.headers),
-        is_signed=engine_format.signature(answer.headers) is not None,
+        is_not_run=engine_answers.is_not_run(answer.status, answer.headers),
+        is_signed=engine_answers.signature(answer.headers) is not None,
     )
 
 
--- a/src/pondtiller/gateway/callers/request.py
+++ b/src/pondtiller/gateway/callers/request.py
@@ -10,7 +10,7 @@
 import curio
 
 from pondtiller.gateway.callers.attempts import RequestAttempts
-from pondtiller.platform.engine_format import Headers
+from pondtiller.platform.headers import Headers
 from pondtiller.process.spawner import Spawner
 from pondtiller.routes.table import RouteRow
 from pondtiller.usage.meter import Beginning
--- a/src/pondtiller/gateway/callers/sending.py
+++ b/src/pondtiller/gateway/callers/sending.py
@@ -20,7 +20,7 @@
     HeldBackError,
 )
 from pondtiller.gateway.engines.suspects import SuspectContents
-from pondtiller.platform import engine_format
+from pondtiller.platform.headers import continued, forwarded_headers
 from pondtiller.process import clock
 from pondtiller.routes.send_gate import Held, SendGate
 
@@ -104,8 +104,8 @@
         # Counted first: a connection that breaks meanwhile may have brought a part to the engine.
         attempts.sent += 1
         left = request.deadline - clock.monotonic()
-        headers = engine_format.forwarded_headers(request.headers, engine, left)
+        headers = forwarded_headers(request.headers, engine, left)
         if last_event:
-            headers = engine_format.continued(headers, last_event)
+            headers = continued(headers, last_event)
         await connection.send_plain(request.method, request.target, request.body, headers)
         return await connection.read_answer(request.identifier)
--- a/src/pondtiller/gateway/callers/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -29,8 +29,9 @@
 from pondtiller.httpio.client import BrokenError, NotSentError
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange, failure_response
-from pondtiller.platform import engine_format
-from pondtiller.platform.engine_format import EventReader
+from pondtiller.platform import engine_answers
+from pondtiller.platform.events import EventReader
+from pondtiller.platform.headers import returned_headers
 from pondtiller.process import clock, logs
 from pondtiller.routes.engines import Engine
 from pondtiller.routes.live_attempts import (
@@ -185,7 +186,7 @@
             return await self._refused(stream, connection, head)
         if not stream.is_begun:
             stream.is_begun = True
-            await exchange.start_response(head.status, engine_format.returned_headers(head.headers))
+            await exchange.start_response(head.status, returned_headers(head.headers))
         await self._pass_events(stream, connection)
         await self._forwarder.suspects.note_answer(request.content)
         await exchange.end_stream()
@@ -197,13 +198,13 @@
         """Take an answer that is no stream; it goes back where no other engine may help."""
         body = b"".join([piece async for piece in connection.read_body()])
         stream.attempts.details.append(f"{connection.engine}:status({head.status})")
-        if engine_format.is_not_run(head.status, head.headers):
+        if engine_answers.is_not_run(head.status, head.headers):
             stream.attempts.sent -= 1
             return self._judge(stream, AttemptEnd.REFUSED)
         await self._forwarder.suspects.note_answer(stream.request.content)
         step = self._judge(stream, AttemptEnd.FAILED)
         if step.step is NextStep.ANSWER:
-            headers = engine_format.returned_headers(head.headers)
+            headers = returned_headers(head.headers)
             await stream.exchange.respond(HttpResponse(head.status, body, "", headers))
         return step
 
--- a/src/pondtiller/gateway/engines/engine_pool.py
+++ b/src/pondtiller/gateway/engines/engine_pool.py
@@ -17,8 +17,8 @@
 from pondtiller.address import Address
 from pondtiller.httpio.client import BrokenError, ClientConnection, NotSentError
 from pondtiller.httpio.sockets import tune
-from pondtiller.platform import engine_format
-from pondtiller.platform.engine_format import Headers
+from pondtiller.platform import engine_answers
+from pondtiller.platform.headers import Headers, header
 from pondtiller.process import clock
 from pondtiller.routes.send_gate import Held, SendGate
 
@@ -76,7 +76,7 @@
                 (name.decode().lower(), value.decode("latin-1")) for name, value in event.headers
             )
             self._note_keep_alive(headers)
-            if not request or engine_format.names_request(headers, request):
+            if not request or engine_answers.names_request(headers, request):
                 return AnswerHead(event.status_code, headers)
             await self._skip_stray_answer()
         raise BrokenError("answers of other requests")
@@ -118,7 +118,7 @@
             self._protocol.receive_data(rest)
 
     def _note_keep_alive(self, headers: Headers) -> None:
-        text = engine_format.header(headers, "keep-alive") or ""
+        text = header(headers, "keep-alive") or ""
         found = re.search(r"timeout=(\d+)", text)
         seconds = float(found.group(1)) if found else IDLE_SECONDS
         self.usable_until = clock.monotonic() + seconds - IDLE_MARGIN_SECONDS
--- a/src/pondtiller/gateway/engines/orders.py
+++ b/src/pondtiller/gateway/engines/orders.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from pondtiller.httpio.client import BrokenError, HttpClient, NotSentError
-from pondtiller.platform import engine_format, names
-from pondtiller.platform.engine_format import EngineReport
+from pondtiller.platform import engine_orders, names
+from pondtiller.platform.engine_orders import EngineReport
 from pondtiller.process import logs
 from pondtiller.rollouts.versions import OrderVersion
 from pondtiller.routes.engines import EngineDirectory
@@ -50,7 +50,7 @@
         engine = self._engines.engines.get(order.engine)
         if engine is None:
             return False
-        body = engine_format.order_body(order, self._holder, fence)
+        body = engine_orders.order_body(order, self._holder, fence)
         try:
             answer = await self._client.request(
                 engine.entry.address,
@@ -58,7 +58,7 @@
                 names.ORDER_PATH,
                 body,
                 ORDER_SECONDS,
-                engine_format.order_headers(order.engine),
+                engine_orders.order_headers(order.engine),
                 may_send,
             )
         except NotSentError:
@@ -81,7 +81,7 @@
             )
         except (NotSentError, BrokenError):
             return None
-        report = engine_format.engine_report(answer.body) if answer.status == 200 else None
+        report = engine_orders.engine_report(answer.body) if answer.status == 200 else None
         logs.decision("engine_report", engine=identifier, status=answer.status, report=report)
         if report is not None and report.started_ms not in (0, engine.entry.started_ms):
             # Another start answers at the same place: its count of orders is not this one's.
--- a/src/pondtiller/gateway/leader/leader_watches.py
+++ b/src/pondtiller/gateway/leader/leader_watches.py
@@ -10,13 +10,14 @@
 
 from pondtiller.address import Address
 from pondtiller.peers.replicas import ReplicaDirectory
-from pondtiller.platform import engine_format, names, objects
+from pondtiller.platform import names, objects
 from pondtiller.platform.object_client import (
     ObjectClient,
     StoreCallError,
     StoreChange,
     StoreObject,
 )
+from pondtiller.platform.values import address
 from pondtiller.process import logs
 from pondtiller.rollouts.versions import VersionSteward
 from pondtiller.store.store_watch import RETRY_SECONDS, StoreHealth, StoreReader, Watch
@@ -132,7 +133,7 @@
 
     async def _add_replica(self, found: StoreObject) -> None:
         try:
-            place: Address = engine_format.address(found.spec["address"])
+            place: Address = address(found.spec["address"])
         except (KeyError, TypeError, ValueError):
             return
         await self._replicas.add(place)
--- a/src/pondtiller/gateway/runs/sample_runner.py
+++ b/src/pondtiller/gateway/runs/sample_runner.py
@@ -19,8 +19,9 @@
 from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, HeldBackError
 from pondtiller.hashing import content_digest
 from pondtiller.httpio.client import BrokenError, NotSentError
-from pondtiller.platform import engine_format
-from pondtiller.platform.engine_format import EventReader
+from pondtiller.platform import engine_answers
+from pondtiller.platform.events import EventReader
+from pondtiller.platform.headers import Headers, sample_headers, scorer_headers
 from pondtiller.process import clock
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName, ScoreEnd
 from pondtiller.routes.live_attempts import scorer_plan
@@ -172,7 +173,7 @@
         self, order: RunOrder, connection: EngineConnection, take: EventSink
     ) -> RunOutcome:
         sample = Sample().parse(order.content)
-        headers = engine_format.sample_headers(
+        headers = sample_headers(
             sample,
             order.host,
             order.engine,
@@ -187,7 +188,7 @@
             async for _ in connection.read_body():
                 pass
             return _refusal(head.status, head.headers)
-        version = engine_format.answer_version(head.headers)
+        version = engine_answers.answer_version(head.headers)
         reader = EventReader()
         async for piece in connection.read_body():
             for event in reader.feed(piece):
@@ -220,7 +221,7 @@
             identifier=scorer.id,
             method="POST",
             target=scorer.path,
-            headers=engine_format.scorer_headers(scorer.id, scorer.host, scorer.body),
+            headers=scorer_headers(scorer.id, scorer.host, scorer.body),
             body=scorer.body,
             content=content_digest(scorer.host.encode(), scorer.path.encode(), scorer.body),
             deadline=clock.monotonic() + plan.seconds,
@@ -228,14 +229,14 @@
         answer = await self._forwarder.whole(request, replace(route, attempts=plan.engines))
         if isinstance(answer, Failure):
             return ScoreOutcome(ScoreEnd.LOST, "", answer.kind.value, route.attempts)
-        signature = engine_format.signature(answer.headers)
+        signature = engine_answers.signature(answer.headers)
         if 200 <= answer.status < 300 and signature is not None:
             return ScoreOutcome(ScoreEnd.SCORED, signature, str(answer.status))
         return ScoreOutcome(ScoreEnd.FAILED, "", str(answer.status), route.attempts)
 
 
-def _refusal(status: int, headers: engine_format.Headers) -> RunOutcome:
-    if engine_format.is_not_run(status, headers):
+def _refusal(status: int, headers: Headers) -> RunOutcome:
+    if engine_answers.is_not_run(status, headers):
         return RunOutcome(RunEnd.REFUSED, str(status))
     if status == 422:
         return RunOutcome(RunEnd.IMPOSSIBLE, str(status))
