--- a/src/pondtiller/gateway/leader/duty_parts.py
+++ b/src/pondtiller/gateway/leader/duty_parts.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from pondtiller.coordination.agreed_clock import AgreedClock
-from pondtiller.gateway.callers.front import Front
+from pondtiller.gateway.callers.table_in_force import TableInForce
 from pondtiller.gateway.engines.orders import EngineOrders
 from pondtiller.gateway.leader.leader_watches import LeaderWatches
 from pondtiller.gateway.leader.leadership import Leadership
@@ -47,7 +47,7 @@
 
     leadership: Leadership
     engines: EngineDirectory
-    front: Front
+    in_force: TableInForce
     runner: SampleRunner
     orders: EngineOrders
     watches: LeaderWatches
--- a/src/pondtiller/gateway/leader/scaling_duty.py
+++ b/src/pondtiller/gateway/leader/scaling_duty.py
@@ -13,7 +13,7 @@
 
 import curio
 
-from pondtiller.gateway.callers.front import Front
+from pondtiller.gateway.callers.table_in_force import TableInForce
 from pondtiller.gateway.leader.leadership import Leadership
 from pondtiller.gateway.leader.order_rights import OrderRights
 from pondtiller.gateway.leader.order_waits import pause_after_others
@@ -74,7 +74,7 @@
     settings: ScalingSettings
     operator: OperatorClient
     leadership: Leadership
-    front: Front
+    in_force: TableInForce
     engines: EngineDirectory
     orders: OrderRights
     metrics: GatewayMetrics
@@ -106,7 +106,7 @@
     async def run(self) -> None:
         """Order until cancelled."""
         while True:
-            table = self._parts.front.table
+            table = self._parts.in_force.table
             now = clock.monotonic()
             if table is not None and self._parts.leadership.log.holds_lease(now):
                 for row in table.services.values():
--- a/src/pondtiller/gateway/leader/term.py
+++ b/src/pondtiller/gateway/leader/term.py
@@ -148,7 +148,7 @@
             parts.operator,
             parts.agreed,
             parts.leadership,
-            parts.front,
+            parts.in_force,
             self.orders,
             parts.metrics,
         )
@@ -162,7 +162,7 @@
             parts.scaling,
             parts.operator,
             parts.leadership,
-            parts.front,
+            parts.in_force,
             parts.engines,
             self.orders,
             parts.metrics,
@@ -252,7 +252,7 @@
         await self.texts.read(self.book.open_samples())
         read_at = clock.monotonic()
         self.offers.texts_read(read_at)
-        self._table = self._parts.front.table
+        self._table = self._parts.in_force.table
         for record in self.book.steps.values():
             self._schedule(record)
         logs.decision(
@@ -269,7 +269,7 @@
     async def _tick(self, now: float) -> None:
         if not self._leadership.log.holds_lease(now):
             return
-        table = self._parts.front.table
+        table = self._parts.in_force.table
         if self.offers.has_texts and table is not None and table is not self._table:
             self._table = table
             self.scheduler.refresh_routes(table.find_for)
--- a/src/pondtiller/gateway/leader/usage_duty.py
+++ b/src/pondtiller/gateway/leader/usage_duty.py
@@ -14,7 +14,7 @@
 import curio
 
 from pondtiller.coordination.agreed_clock import AgreedClock
-from pondtiller.gateway.callers.front import Front
+from pondtiller.gateway.callers.table_in_force import TableInForce
 from pondtiller.gateway.leader.leadership import Leadership
 from pondtiller.gateway.leader.order_rights import OrderRights
 from pondtiller.gateway.leader.order_waits import pause_after_others
@@ -82,7 +82,7 @@
     operator: OperatorClient
     agreed: AgreedClock
     leadership: Leadership
-    front: Front
+    in_force: TableInForce
     orders: OrderRights
     metrics: GatewayMetrics
 
@@ -107,7 +107,7 @@
         self._operator = parts.operator
         self._agreed = parts.agreed
         self._leadership = parts.leadership
-        self._front = parts.front
+        self._in_force = parts.in_force
         self._orders = parts.orders
         self._metrics = parts.metrics
         self._epoch = epoch
@@ -149,7 +149,7 @@
         """Report until cancelled."""
         while True:
             now = clock.monotonic()
-            table = self._front.table
+            table = self._in_force.table
             if table is not None and table.tenants and self._leadership.log.holds_lease(now):
                 await self._work(now)
             await curio.sleep(LOOK_SECONDS)
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -183,7 +183,7 @@
         parts = DutyParts(
             leadership=self.leadership,
             engines=self.engines,
-            front=self.front,
+            in_force=self.front.in_force,
             runner=self._runner,
             orders=EngineOrders(settings.name, self.engines, HttpClient()),
             watches=self.leader_watches,
