--- a/src/pondtiller/gateway/leader/duty_parts.py
+++ b/src/pondtiller/gateway/leader/duty_parts.py
@@ -41,8 +41,8 @@
     scaling
         By what engines are ordered; None where none are.
     is_held, ends
-        Whether a content is held back from engines, and under how many engines it ended, by its
-        digest; None where neither is known.
+        Whether a sample is held back from engines, and how many engines ended under it, by
+        `quarantine.sample_content`; None where neither is known.
     """
 
     leadership: Leadership
