--- a/Makefile
+++ b/Makefile
@@ -46,6 +46,7 @@
 	$(PYTHON) tools/check_events.py
 	$(PYTHON) tools/check_metrics.py
 	$(PYTHON) tools/check_constants.py
+	$(PYTHON) tools/check_decisions.py
 	$(PYTHON) tools/check_generated.py
 
 format: $(READY)
