--- a/tools/check_decisions.py
+++ b/tools/check_decisions.py
@@ -1,6 +1,6 @@
 """Checks that docs/DECISIONS.md names files, tests and constants that exist.
 
-A row that names what is gone sends the engineer on call to nowhere. Looked up are: paths that end in
+A row that names what is gone sends the engineer on call nowhere. Looked up are: paths that end in
 `.py`, below src/pondtiller or the repository's root; names of tests; names in capitals, in the
 sources. Figures are not compared.
 """
