--- a/src/pondtiller/coordination/agreed_clock.py
+++ b/src/pondtiller/coordination/agreed_clock.py
@@ -1,4 +1,4 @@
-"""The time of day on which most machines agree, told by one machine's steady clock. No I/O.
+"""The time of day on which most machines agree, kept by one machine's steady clock. No I/O.
 
 Machines' times of day differ a little, and jump by seconds on some of them. The distance from a
 steady clock to the time of day does not change, so it is enough to know it once: the median over
@@ -21,7 +21,7 @@
 daemon, twice a second each, and would look at all machines each time. Steady clocks differ by some
 ten microseconds in that time, and links delay what machines tell by milliseconds."""
 JUMP_SECONDS = 0.25
-"""A told time that differs by more is a jump; links delay a message by far less."""
+"""A received time that differs by more is a jump; links delay a message by far less."""
 JUMPS_TO_FOLLOW = 3
 """So many answers in a row that agree on a jump are believed: the earlier time was wrong."""
 
@@ -58,7 +58,7 @@
         self.machines[machine] = MachineClock(wall - now, now)
 
     def learned(self, agreed: float, now: float) -> None:
-        """Take the agreed time as another daemon told it; a jump only when it is told again."""
+        """Take the agreed time from another process; a jump only when it is received again."""
         offset = agreed - now
         is_jump = self._learned is not None and abs(offset - self._learned) > JUMP_SECONDS
         self._jumps = self._jumps + 1 if is_jump else 0
--- a/src/pondtiller/gateway/callers/live_requests.py
+++ b/src/pondtiller/gateway/callers/live_requests.py
@@ -1,7 +1,7 @@
 """Live requests: counted against their tenant's rate, sent to an engine, answered.
 
-Owns nothing beyond the request that it answers. Which engine gets it is decided in `forward.py` and
-`streams.py`, what a tenant may send in `tenant_rates.py`.
+Owns nothing beyond the request that it answers. Relies on `forward.py` and `streams.py` to send it,
+and on `tenant_rates.py` for what a tenant may send. Chooses no engine: `routes.engine_choice` does.
 """
 
 from pondtiller.gateway.callers.attempts import WholeAnswer
--- a/src/pondtiller/gateway/callers/request_routing.py
+++ b/src/pondtiller/gateway/callers/request_routing.py
@@ -1,9 +1,9 @@
 """Which row serves a request and whose it is, or why it is refused at once. No I/O.
 
 Owns no state: it reads the table in force. It relies on `platform.requests` for requests that are
-decoded and on `KeyFreshness` for whether keys may be trusted. It chooses no engine (`forward.py`),
-counts no request against a rate (`tenant_rates.py`) and writes no log line: `log_refusal` does,
-from the refusal that these decisions return.
+decoded and on `KeyFreshness` for whether keys may be trusted. It chooses no engine
+(`routes.engine_choice`), counts no request against a rate (`tenant_rates.py`) and writes no log
+line: `log_refusal` does, from the refusal that these decisions return.
 """
 
 from collections.abc import Callable
--- a/src/pondtiller/gateway/runs/executed_run.py
+++ b/src/pondtiller/gateway/runs/executed_run.py
@@ -1,4 +1,4 @@
-"""A run that this gateway executes: its order, what its engine made, and who is told.
+"""A run that this gateway executes: its order, what its engine made, and who gets the news.
 
 Owns what was made in this run, in memory alone; earlier events of the text are the leader's. Does
 not talk to the engine (`sample_runner.py`).
@@ -13,7 +13,7 @@
 
 
 class RunListener(Protocol):
-    """Who is told of a run: the link of a leader."""
+    """Who gets the news of a run: the link of a leader."""
 
     def take_event(self, event: RunEvent) -> None:
         """Take an event."""
@@ -45,7 +45,7 @@
     events
         What the engine made in this run.
     listener
-        Who is told; None while its leader is lost.
+        Who gets the news; None while its leader is lost.
     outcome, score
         How the run ended, and what became of scoring its text; None before.
     is_dropped
@@ -93,7 +93,7 @@
             await self.listener.take_score(scored_run(self.order.run, score))
 
     async def go_on(self, order: RunOrder, epoch: int, listener: RunListener) -> None:
-        """Go on under another leader; it is told what it does not know yet."""
+        """Go on under another leader, which gets what it does not know yet."""
         self.order, self.epoch, self.listener = order, epoch, listener
         self.events = [event._replace(run=order.run) for event in self.events]
         for event in self.events:
@@ -113,5 +113,5 @@
 
 
 def scored_run(run: int, score: ScoreOutcome) -> ScoredRun:
-    """Return what a leader is told of a score."""
+    """Return the news of a score for a leader."""
     return ScoredRun(run, score.end, score.score, score.detail, score.attempts, score.request)
--- a/src/pondtiller/gateway/runs/leader_runs.py
+++ b/src/pondtiller/gateway/runs/leader_runs.py
@@ -135,7 +135,7 @@
         await self._has_news.set()
 
     async def _tell(self) -> None:
-        """Send news while there are runs or scores are made; ends and scores are told at once."""
+        """Send news while there are runs or scores are made; ends and scores are sent at once."""
         while self.runs or self.judged or self._news.ended or self._news.scored:
             silent_at = self.heard_at + LEADER_SILENT_SECONDS
             wait = min(NEWS_SECONDS, max(0.0, silent_at - clock.monotonic()))
--- a/src/pondtiller/usage/ledger.py
+++ b/src/pondtiller/usage/ledger.py
@@ -1,7 +1,7 @@
-"""What a leader knows of all daemons' counts. No I/O.
+"""What a leader knows of all gateways' counts. No I/O.
 
 Owns the counts of one term; what lasts is in the log (`reports.py`). Relies on counts that only
-grow, so that one told twice does no harm.
+grow, so that one received twice does no harm.
 """
 
 from collections.abc import Iterable
@@ -10,11 +10,11 @@
 from pondtiller.usage.meter import UseRow
 
 GONE_SECONDS = 15.0
-"""A daemon that told nothing for so long is not waited for: daemons tell once a window."""
+"""After this time without a report a gateway is not waited for: each reports once a window."""
 
 
 class LedgerRow(NamedTuple):
-    """A count as one start of a daemon told it."""
+    """A count as one start of a gateway reported it."""
 
     daemon: str
     incarnation: int
@@ -47,7 +47,7 @@
 
 
 class UseLedger:
-    """The highest count of each row that was told; adding up is left for the end of a window."""
+    """The highest count of each row that was reported; they are added up at the end of a window."""
 
     def __init__(self) -> None:
         self.daemons: dict[str, HeardDaemon] = {}
@@ -77,7 +77,7 @@
         return self.take(LedgerRow(daemon, incarnation, *row) for row in rows)
 
     def is_complete(self, until: float, now: float) -> bool:
-        """Return whether all daemons that still live have told what they began until then."""
+        """Return whether all gateways that still live have reported what they began until then."""
         return all(
             each.complete_until >= until
             for each in self.daemons.values()
--- a/src/pondtiller/usage/meter.py
+++ b/src/pondtiller/usage/meter.py
@@ -1,10 +1,11 @@
-"""What one daemon counts: requests that engines began, by window and tenant. No I/O.
+"""What one gateway counts: requests that engines began, by window and tenant. No I/O.
 
 A request counts once, in the window in which its first engine began it. Counts only grow, and a
-leader is told the counts themselves and not their changes, so a message that is lost, repeated or
+leader receives the counts themselves and not their changes, so a message that is lost, repeated or
 late does no harm.
 
-Owns the counts of this gateway, in memory alone: what is not told when it ends is not reported.
+Owns the counts of this gateway, in memory alone: what was not sent to the leader when it ends is
+not reported.
 Does not add up over gateways (`ledger.py`), nor decide which window is due (`reports.py`).
 """
 
@@ -15,7 +16,7 @@
 from typing import NamedTuple
 
 KEPT_SECONDS = 60.0
-"""How long a window's counts are kept for a leader that has to be told again."""
+"""How long a window's counts are kept for a leader that needs them again."""
 
 
 class UseRow(NamedTuple):
@@ -34,12 +35,12 @@
 
 
 def pack_rows(rows: Iterable[UseRow]) -> bytes:
-    """Return rows as they are told."""
+    """Return rows as they are sent to the leader."""
     return json.dumps(list(rows)).encode()
 
 
 def unpack_rows(encoded: bytes) -> list[UseRow]:
-    """Return rows that were told; raises `ValueError`, `TypeError` where they are not sound."""
+    """Return rows that were received; raises `ValueError`, `TypeError` where they are not sound."""
     return [UseRow(*row) for row in json.loads(encoded)] if encoded else []
 
 
