--- a/src/pondtiller/gateway/tests/test_rates.py
+++ b/src/pondtiller/gateway/tests/test_rates.py
@@ -7,7 +7,6 @@
 import pytest
 
 from pondtiller.coordination.rate_shares import WINDOW_SECONDS
-from pondtiller.gateway.callers.tenant_rates import WAIT_SECONDS
 from pondtiller.gateway.tests.let_through import LetThrough
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_tenants import ANN, BOB, KEYS, until_in_force
@@ -22,6 +21,11 @@
 """In any second, with an excess of a tenth."""
 MOST_BURSTS = 3
 """Bursts until one is undisturbed: each costs 8 s of the 40 s that a test has."""
+MOST_STALL_SECONDS = 0.12
+"""A longer stall of this process counts as a disturbance: a call waits 0.25 s for a share."""
+BURST = 30
+"""Calls at once, three times the rate. Twice as many take longer than the wait for a share on a
+busy machine, and what no leader has answered by then is truly answered 503."""
 
 
 def put_rate(system: System, version: int, rate: float) -> None:
@@ -73,13 +77,13 @@
     async def undisturbed_burst(self, calls: int) -> list[Any]:
         """Return the answers of a burst during which this process did not stand still.
 
-        All parts share the process. A stall that outlasts the wait for a share is answered 503, and
-        one that outlasts the shares themselves 429 to each call: both are true.
+        All parts share the process. After a stall that outlasts the wait for a share calls are
+        answered 503, and after one that outlasts the shares 429, all of them: both are true.
         """
         for _ in range(MOST_BURSTS):
             first, looks = len(self.answers), len(self.system.stalls)
             await self.burst(calls)
-            if max(self.system.stalls[looks:], default=0.0) < WAIT_SECONDS / 2:
+            if max(self.system.stalls[looks:], default=0.0) < MOST_STALL_SECONDS:
                 return self.answers[first:]
             await curio.sleep(2 * WINDOW_SECONDS)
             await until_granted(self.system)
@@ -104,14 +108,15 @@
 
     async def test(system: System) -> None:
         ann = await limited(system)
-        answers = await ann.undisturbed_burst(60)
+        answers = await ann.undisturbed_burst(BURST)
         assert {answer.status for answer in answers} == {200, 429}
         assert MOST // 2 <= through.most_in_a_second(SUBJECT) <= MOST
         pauses = [
             float(dict(answer.headers)["retry-after"]) for answer in answers if answer.status == 429
         ]
         assert all(0.0 < pause <= 1.1 for pause in pauses)
-        seen = sum(len(engine.seen) for engine in system.app)
+        # By identifier: a request may go to a second engine too where the first one is late.
+        seen = len({request for engine in system.app for request, *_ in engine.seen})
         assert seen == ann.count(200) == through.count(SUBJECT)
 
     run_system(tmp_path, test, gateways=2, with_configuration=False)
