--- a/src/pondtiller/coordination/rate_grants.py
+++ b/src/pondtiller/coordination/rate_grants.py
@@ -32,7 +32,7 @@
         """Return who wants more than it has."""
         return (each for each, (want, _) in self.wanted.items() if want > self.amount(each, now))
 
-    def keep_house(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget what has ended, and the wants of those that have not asked for long."""
         for holder, entries in list(self.reserved.items()):
             left = tuple(each for each in entries if each.until > now)
@@ -73,7 +73,7 @@
     def grant(self, holder: HolderKey, wish: RateWish, terms: RateTerms, now: float) -> int:
         """Take a wish and return the share that the holder may use from when it asked."""
         book = self._books.setdefault(wish.subject, _Book())
-        book.keep_house(now)
+        book.drop_expired(now)
         until = now + terms.quiet_seconds
         book.wanted[holder] = (wish.wanted, now + terms.lease_seconds)
         # What it held above what it says has been used until now at the latest.
@@ -97,9 +97,9 @@
             wanted = min(wanted, max(divide(terms.total, wants)[holder], 1))
         return min(wanted, free)
 
-    def keep_house(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget rates of which nothing is held or wanted."""
         for subject, book in list(self._books.items()):
-            book.keep_house(now)
+            book.drop_expired(now)
             if not book.reserved and not book.wanted:
                 del self._books[subject]
--- a/src/pondtiller/gateway/callers/attempts.py
+++ b/src/pondtiller/gateway/callers/attempts.py
@@ -8,11 +8,11 @@
 
 from pondtiller.errors import Ran
 from pondtiller.platform.headers import Headers
-from pondtiller.routes.engine_choice import Wanted
+from pondtiller.routes.engine_choice import EngineConstraints
 from pondtiller.routes.engines import Engine
 from pondtiller.routes.live_attempts import AttemptEnd, HedgeInputs, WaitInputs
 from pondtiller.routes.live_queue import Ticket
-from pondtiller.routes.send_gate import Held
+from pondtiller.routes.send_gate import BlockReason
 from pondtiller.routes.table import RouteRow
 
 
@@ -99,7 +99,7 @@
     details: list[str] = field(default_factory=list)
 
     @property
-    def passed_over(self) -> frozenset[str]:
+    def excluded(self) -> frozenset[str]:
         """Engines that are not to be chosen again."""
         return frozenset((self.engines - self.again) | self.held_back | self.unreached)
 
@@ -108,15 +108,15 @@
         """Whether an engine may have begun to work on it: sent, and not refused as not run."""
         return Ran.UNKNOWN if self.sent else Ran.NO
 
-    def wanted(self, service: str, route: RouteRow) -> Wanted:
+    def wanted(self, service: str, route: RouteRow) -> EngineConstraints:
         """Return what the request may still be sent to."""
-        return Wanted(
+        return EngineConstraints(
             service=service,
             homes=route.homes,
-            passed_over=self.passed_over,
-            again=frozenset(self.again),
+            excluded=self.excluded,
+            resendable=frozenset(self.again),
             engines_used=len(self.engines),
-            most_engines=route.attempts,
+            max_engines=route.attempts,
         )
 
     def hedge_inputs(self, route: RouteRow, is_suspect: bool) -> HedgeInputs:
@@ -125,7 +125,7 @@
             may_repeat=route.may_repeat,
             is_suspect=is_suspect,
             engines_used=len(self.engines),
-            most_engines=route.attempts,
+            max_engines=route.attempts,
         )
 
     def wait_inputs(self, route: RouteRow, has_engine: bool) -> WaitInputs:
@@ -135,7 +135,7 @@
             may_repeat=route.may_repeat,
             was_refused=bool(self.refused | self.again),
             engines_used=len(self.engines),
-            most_engines=route.attempts,
+            max_engines=route.attempts,
         )
 
     def reserve(self, engine: Engine) -> None:
@@ -179,7 +179,7 @@
         for engine, left in self.left_when_sent.items():
             self.details.append(f"{engine}:unanswered(left={left:.3f})")
 
-    def hold_back(self, engine: Engine, reason: Held) -> None:
+    def hold_back(self, engine: Engine, reason: BlockReason) -> None:
         """Take that a request did not leave for an engine that was chosen."""
         self.engines.discard(engine.identifier)
         self.held_back.add(engine.identifier)
--- a/src/pondtiller/gateway/callers/content_trials.py
+++ b/src/pondtiller/gateway/callers/content_trials.py
@@ -19,7 +19,7 @@
 from pondtiller.process import clock, logs
 from pondtiller.process.spawner import Spawner
 from pondtiller.routes.engines import EngineDirectory
-from pondtiller.routes.quarantine import shown_content
+from pondtiller.routes.quarantine import abbreviate_content
 
 SETTLE_SECONDS = 1.0
 """From the end of a trial without an answer until its outcome is told. An engine may end some time
@@ -121,14 +121,14 @@
         # Others may tell until then under which of their requests it ended.
         await curio.sleep(max(0.0, settled_at - clock.monotonic()))
         quarantine = self._suspects.quarantine
-        if all(quarantine.is_explained(content, each) for each in ended):
+        if all(quarantine.is_crash_explained(content, each) for each in ended):
             return TrialOutcome.INCONCLUSIVE
         return TrialOutcome.ENGINE_ENDED
 
     def _log(self, whole: WholeRequest, outcome: TrialOutcome) -> None:
         logs.decision(
             "content_trial_ended",
-            content=shown_content(whole.request.content),
+            content=abbreviate_content(whole.request.content),
             request=whole.request.identifier,
             engine=",".join(sorted(whole.attempts.engines)),
             outcome=outcome.value,
--- a/src/pondtiller/gateway/callers/forward.py
+++ b/src/pondtiller/gateway/callers/forward.py
@@ -44,7 +44,7 @@
     may_wait,
 )
 from pondtiller.routes.live_queue import LiveQueue, Ticket
-from pondtiller.routes.quarantine import shown_content
+from pondtiller.routes.quarantine import abbreviate_content
 from pondtiller.routes.send_gate import SendGate
 from pondtiller.routes.service_times import ServiceTimes
 from pondtiller.routes.table import RequestKind, RouteRow
@@ -183,7 +183,7 @@
         if self.suspects.is_held(whole.checked_content):
             return False
         now = clock.monotonic()
-        engine = self.choice.choose_with_room(
+        engine = self.choice.choose_available(
             whole.attempts.wanted(whole.service, whole.route), now
         )
         if engine is None:
@@ -218,7 +218,7 @@
                 if line.queue.first is ticket and await self._begin(whole):
                     return None
         finally:
-            line.queue.leave(ticket)
+            line.queue.remove(ticket)
             await line.turn.set()
         return self._exhausted(whole, line.queue)
 
@@ -229,11 +229,11 @@
     def _enter(self, whole: WholeRequest, line: WaitingLine) -> Ticket | None:
         request, route, attempts = whole.request, whole.route, whole.attempts
         if attempts.ticket is not None:
-            line.queue.enter_again(attempts.ticket)
+            line.queue.requeue(attempts.ticket)
             return attempts.ticket
         now = clock.monotonic()
         pace = self._times.pace(route, whole.service, now)
-        attempts.ticket = line.queue.enter(route.priority, request.deadline, now, pace)
+        attempts.ticket = line.queue.enqueue(route.priority, request.deadline, now, pace)
         if attempts.ticket is not None:
             attempts.details.append("waits")
         return attempts.ticket
@@ -363,7 +363,7 @@
             return Failure(kind)
         now = clock.monotonic()
         pace = self._times.pace(whole.route, whole.service, now)
-        pause = queue.return_seconds(whole.request.deadline - now, pace)
+        pause = queue.seconds_to_retry(whole.request.deadline - now, pace)
         return Failure(kind, retry_after_seconds=pause)
 
     def _late(self, route: RouteRow, attempts: RequestAttempts) -> Failure:
@@ -385,7 +385,7 @@
         logs.decision(
             "request_failed" if is_failure else "request_answered",
             request=request.identifier,
-            content=shown_content(request.content),
+            content=abbreviate_content(request.content),
             route=whole.route.name,
             service=whole.service,
             table_version=request.decided_by.version,
--- a/src/pondtiller/gateway/callers/front.py
+++ b/src/pondtiller/gateway/callers/front.py
@@ -25,8 +25,8 @@
 from pondtiller.peers.leader_client import LeaderClient
 from pondtiller.platform.requests import CallerRequest, RequestTarget, read_request
 from pondtiller.process import clock, logs
-from pondtiller.routes.places import Places
 from pondtiller.routes.table import RequestKind, RouteTable
+from pondtiller.routes.topology import Topology
 from pondtiller.usage.meter import UseMeter
 
 
@@ -53,7 +53,7 @@
         meter: UseMeter,
         are_keys_fresh: Callable[[], bool],
         rates: TenantRates,
-        places: Places,
+        places: Topology,
     ) -> None:
         self.in_force = TableInForce()
         self.open_exchanges = 0
--- a/src/pondtiller/gateway/callers/request_routing.py
+++ b/src/pondtiller/gateway/callers/request_routing.py
@@ -16,8 +16,8 @@
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.gateway.callers.table_in_force import TableInForce
 from pondtiller.platform.requests import CallerRequest
-from pondtiller.routes.places import Places
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable
+from pondtiller.routes.topology import Topology
 
 STEPS_LABEL = "step"
 """Stands for the row in the metric of requests about steps that were submitted before."""
@@ -88,7 +88,7 @@
     """
 
     def __init__(
-        self, in_force: TableInForce, places: Places, are_keys_fresh: Callable[[], bool]
+        self, in_force: TableInForce, places: Topology, are_keys_fresh: Callable[[], bool]
     ) -> None:
         self._in_force = in_force
         self._places = places
@@ -152,7 +152,7 @@
         homes = table.homes_for(route, tenant)
         if homes is None:
             return Err(_home_refusal(Reason.NO_COMMON_HOME, table, route, frozenset()))
-        if route.kind is RequestKind.STEP and not self._places.covers_all(homes):
+        if route.kind is RequestKind.STEP and not self._places.allows_all_zones(homes):
             return Err(_home_refusal(Reason.STEP_LEAVES_HOMES, table, route, homes))
         if homes != route.homes:
             route = replace(route, homes=homes)
--- a/src/pondtiller/gateway/callers/sending.py
+++ b/src/pondtiller/gateway/callers/sending.py
@@ -22,7 +22,7 @@
 from pondtiller.gateway.engines.suspects import SuspectContents
 from pondtiller.platform.headers import continued, forwarded_headers
 from pondtiller.process import clock
-from pondtiller.routes.send_gate import Held, SendGate
+from pondtiller.routes.send_gate import BlockReason, SendGate
 
 
 class EngineSender:
@@ -82,15 +82,15 @@
         await self._pool.give_back_unused(connection)
         raise HeldBackError(held)
 
-    def _held(self, content: str, send_by: float) -> Held | None:
+    def _held(self, content: str, send_by: float) -> BlockReason | None:
         """Return what came up while the connection was awaited.
 
         Other runs of the same content may have ended their engines meanwhile: each attempt after
         the last end that is allowed costs an engine.
         """
         if self._suspects.is_held(content):
-            return Held.ENDS_ENGINES
-        return Held.LATE if clock.monotonic() >= send_by else None
+            return BlockReason.ENDS_ENGINES
+        return BlockReason.LATE if clock.monotonic() >= send_by else None
 
     async def send(
         self,
--- a/src/pondtiller/gateway/callers/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -40,11 +40,11 @@
     error_without_engines,
     judge_stream,
 )
-from pondtiller.routes.quarantine import shown_content
-from pondtiller.routes.send_gate import Held, SendGate
+from pondtiller.routes.quarantine import abbreviate_content
+from pondtiller.routes.send_gate import BlockReason, SendGate
 from pondtiller.routes.table import RouteRow
 
-HELD_AFTER_CHOICE = (Held.ENDS_ENGINES, Held.LATE)
+HELD_AFTER_CHOICE = (BlockReason.ENDS_ENGINES, BlockReason.LATE)
 """What holds a request back from all engines: the one that was chosen is not to be passed over."""
 
 
@@ -105,7 +105,7 @@
         logs.decision(
             "stream_ended",
             request=request.identifier,
-            content=shown_content(request.content),
+            content=abbreviate_content(request.content),
             route=route.name,
             table_version=request.decided_by.version,
             table_age=request.decided_by.age_seconds,
@@ -132,7 +132,7 @@
             return StreamStep(NextStep.GIVE_UP, suspects.refuse(request.content, attempts.ran))
         now = clock.monotonic()
         choice = self._forwarder.choice
-        engine = choice.choose(stream.service, attempts.passed_over, route.homes, now)
+        engine = choice.choose(stream.service, attempts.excluded, route.homes, now)
         if engine is None or len(attempts.engines) >= route.attempts:
             return StreamStep(NextStep.GIVE_UP, Failure(error_without_engines(attempts.ran)))
         if now >= request.deadline:
--- a/src/pondtiller/gateway/callers/waiting.py
+++ b/src/pondtiller/gateway/callers/waiting.py
@@ -12,7 +12,7 @@
 import curio
 
 from pondtiller.process import clock
-from pondtiller.routes.live_queue import LOOK_AGAIN_SECONDS, LiveQueue, Ticket
+from pondtiller.routes.live_queue import RECHECK_SECONDS, LiveQueue, Ticket
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
         self.turn.clear()
         patience = max(0.0, ticket.leave_by - clock.monotonic())
         if self.queue.first is ticket:
-            patience = min(patience, LOOK_AGAIN_SECONDS)
+            patience = min(patience, RECHECK_SECONDS)
         await curio.ignore_after(patience, self.turn.wait)
 
 
--- a/src/pondtiller/gateway/engines/cold_sends.py
+++ b/src/pondtiller/gateway/engines/cold_sends.py
@@ -10,7 +10,7 @@
 from pondtiller.process import clock, logs
 from pondtiller.routes.cold import LEASE_SECONDS, ColdEngines, subject_of
 from pondtiller.routes.engines import Engine
-from pondtiller.routes.send_gate import Held
+from pondtiller.routes.send_gate import BlockReason
 
 WAIT_SECONDS = 0.3
 """Longest wait for a share: a leader in another region answers within 0.05 s, and a run that is
@@ -30,24 +30,24 @@
         self._metrics = metrics
         self._known: frozenset[str] = frozenset()
 
-    def rule(self, engine: Engine, now: float) -> Held | None:
+    def rule(self, engine: Engine, now: float) -> BlockReason | None:
         """Count a request that is about to leave; the last rule of the gate."""
         return self._take(engine.identifier, now) if self._cold.is_cold(engine, now) else None
 
-    def unknown_rule(self, identifier: str, now: float) -> Held | None:
+    def unknown_rule(self, identifier: str, now: float) -> BlockReason | None:
         """As `rule`, for an engine that this daemon does not know yet."""
         return self._take(identifier, now) if self._cold.is_cold_name(identifier, now) else None
 
-    def _take(self, identifier: str, now: float) -> Held | None:
+    def _take(self, identifier: str, now: float) -> BlockReason | None:
         if self._shares.take(subject_of(identifier), now):
             self._metrics.cold_sends += 1
             return None
         self._metrics.held_cold += 1
-        return Held.COLD
+        return BlockReason.COLD
 
     def told(self, identifier: str) -> None:
         """Take that the leader takes an engine for cold."""
-        self._cold.told(identifier, clock.monotonic())
+        self._cold.note_cold_report(identifier, clock.monotonic())
 
     async def prepare(self, identifier: str, deadline: float) -> None:
         """Wait a moment for a share where an engine is cold; the gate decides afterwards."""
@@ -77,8 +77,8 @@
 
     def look(self, now: float) -> None:
         """Note which engines turned cold or warm: one line at a time for all of them."""
-        self._cold.keep_house(now)
-        known = frozenset(each.identifier for each in self._cold.cold(now))
+        self._cold.drop_expired(now)
+        known = frozenset(each.identifier for each in self._cold.cold_engines(now))
         if known == self._known:
             return
         logs.decision(
--- a/src/pondtiller/gateway/engines/engine_ends.py
+++ b/src/pondtiller/gateway/engines/engine_ends.py
@@ -22,7 +22,7 @@
 from pondtiller.httpio.client import NotSentError
 from pondtiller.process import clock, logs
 from pondtiller.routes.engines import EngineDirectory
-from pondtiller.routes.quarantine import shown_content
+from pondtiller.routes.quarantine import abbreviate_content
 
 ASK_SECONDS = 0.15
 """How long a port is asked: a refusal takes one way there and back, 0.04 s between regions. A
@@ -30,7 +30,7 @@
 KNOWN_SECONDS = 1.0
 """How long an answer of a port holds for the other requests that broke off there with it. An engine
 that ended takes longer to start again."""
-LOOK_AGAIN_SECONDS = 0.1
+RECHECK_SECONDS = 0.1
 """From an answer of the port until it is looked at again: a program may close its connections some
 time before it ends. The request's next attempt does not wait for it."""
 
@@ -117,7 +117,7 @@
 
     async def _look_again(self, broken: BrokenOff, connection: EngineConnection) -> None:
         """Keep a connection that lasts; ask the port again where it does not."""
-        await curio.sleep(LOOK_AGAIN_SECONDS)
+        await curio.sleep(RECHECK_SECONDS)
         if connection.is_clean():
             await self._pool.give_back_unused(connection)
             return
@@ -133,7 +133,7 @@
         logs.decision(
             "request_broke_off",
             request=broken.request,
-            content=shown_content(broken.content),
+            content=abbreviate_content(broken.content),
             engine=broken.engine,
             has_ended=has_ended,
             is_planned=broken.is_planned,
@@ -142,7 +142,7 @@
         if not has_ended or broken.is_planned:
             return False
         self._metrics.ends_seen += 1
-        await self._suspects.note_end(broken.content, broken.engine)
+        await self._suspects.note_crash(broken.content, broken.engine)
         return True
 
     async def _ask(self, engine: str, address: Address) -> EngineConnection | None:
--- a/src/pondtiller/gateway/engines/engine_pool.py
+++ b/src/pondtiller/gateway/engines/engine_pool.py
@@ -21,7 +21,7 @@
 from pondtiller.platform.headers import Headers, header
 from pondtiller.process import clock
 from pondtiller.process.stalls import StallWatch
-from pondtiller.routes.send_gate import Held
+from pondtiller.routes.send_gate import BlockReason
 
 CONNECT_SECONDS = 0.5
 """Longest wait for a connection to an engine, in seconds in which this process runs. Bounds what an
@@ -131,7 +131,7 @@
 class HeldBackError(NotSentError):
     """A request must not leave for an engine now; the engine did not fail."""
 
-    def __init__(self, reason: Held) -> None:
+    def __init__(self, reason: BlockReason) -> None:
         super().__init__(f"held({reason.value})")
         self.reason = reason
 
--- a/src/pondtiller/gateway/engines/suspect_sharing.py
+++ b/src/pondtiller/gateway/engines/suspect_sharing.py
@@ -22,7 +22,7 @@
     StoreObject,
 )
 from pondtiller.process import clock, logs
-from pondtiller.routes.quarantine import Suspect, shown_content
+from pondtiller.routes.quarantine import Suspect, abbreviate_content
 from pondtiller.store.store_watch import (
     LONGEST_RETRY_SECONDS,
     RETRY_SECONDS,
@@ -140,9 +140,9 @@
             return
         logs.decision(
             "content_told",
-            content=shown_content(told.content),
+            content=abbreviate_content(told.content),
             ends=len(told.ends),
-            is_held=told.is_held,
+            is_held=told.is_quarantined,
             revision=found.revision,
         )
 
@@ -167,7 +167,7 @@
         try:
             return await self._write_trial(content, is_spare)
         except StoreCallError as error:
-            logs.decision("content_untold", content=shown_content(content), reason=str(error))
+            logs.decision("content_untold", content=abbreviate_content(content), reason=str(error))
             return False
 
     async def _write_trial(self, content: str, has_spare: bool) -> bool:
@@ -176,15 +176,17 @@
 
         def count(known: Suspect) -> Suspect | None:
             now = clock.wall()
-            return known.tried(now) if quarantine.is_trial_due(content, now, has_spare) else None
+            return (
+                known.with_trial(now) if quarantine.is_trial_due(content, now, has_spare) else None
+            )
 
         if not await self._update(content, count):
             return False
         logs.decision(
             "content_tried",
-            content=shown_content(content),
-            ends=quarantine.ends(content),
-            own_ends=quarantine.own_ends(content),
+            content=abbreviate_content(content),
+            ends=quarantine.crash_count(content),
+            own_ends=quarantine.count_own_crashes(content),
             trials=quarantine.suspects[content].trials,
         )
         return True
@@ -196,12 +198,12 @@
         """
         try:
             for _ in range(MOST_WRITES):
-                if await self._update(content, Suspect.tried_in_vain):
+                if await self._update(content, Suspect.with_inconclusive_trial):
                     return
             reason = "it was cleared, or others wrote it each time first"
         except StoreCallError as error:
             reason = str(error)
-        logs.decision("content_untold", content=shown_content(content), reason=reason)
+        logs.decision("content_untold", content=abbreviate_content(content), reason=reason)
 
     async def _update(self, content: str, change: Callable[[Suspect], Suspect | None]) -> bool:
         """Change what the store holds of a content; False where it did not take the change.
@@ -218,7 +220,7 @@
         if not self._suspects.is_held(content):
             # An engine answered it here meanwhile: what the store holds is out of date.
             return False
-        self._suspects.quarantine.take(told)
+        self._suspects.quarantine.merge_report(told)
         changed = change(self._suspects.quarantine.suspects[content])
         if changed is None:
             return False
@@ -226,7 +228,7 @@
             names.SUSPECTS, content, found.revision, objects.suspect_spec(changed)
         )
         if outcome is PutOutcome.DONE:
-            self._suspects.quarantine.take(changed)
+            self._suspects.quarantine.merge_report(changed)
         return outcome is PutOutcome.DONE
 
     # What others are told
@@ -252,7 +254,7 @@
         """Return the content to tell now: the one with the most ends first."""
         now = clock.monotonic()
         due = [each for each, by in self._suspects.untold.items() if now >= by]
-        return max(due, key=self._suspects.quarantine.ends, default=None)
+        return max(due, key=self._suspects.quarantine.crash_count, default=None)
 
     async def _tell(self, content: str) -> None:
         # What comes while this is written is told anew.
@@ -260,7 +262,7 @@
         try:
             is_told = await self._write(content)
         except StoreCallError as error:
-            logs.decision("content_untold", content=shown_content(content), reason=str(error))
+            logs.decision("content_untold", content=abbreviate_content(content), reason=str(error))
             is_told = False
         pause = PAUSE_SECONDS
         if is_told:
@@ -291,7 +293,7 @@
         told = objects.read_suspect(found)
         quarantine = self._suspects.quarantine
         if told is not None and told.ends and found.name in quarantine.suspects:
-            quarantine.take(told)
+            quarantine.merge_report(told)
         cleared = Suspect(found.name, frozenset(), clock.wall() + CLEARED_SECONDS)
         renewed = quarantine.suspects.get(found.name, cleared)
         if told is not None and renewed._replace(until=told.until) == told:
@@ -305,7 +307,7 @@
         """Remove objects whose ends count no longer, where this gateway leads."""
         now = clock.wall()
         quarantine = self._suspects.quarantine
-        quarantine.keep_house(now)
+        quarantine.drop_expired(now)
         for content in set(self._no_trial_before) - set(quarantine.suspects):
             del self._no_trial_before[content]
         if not self._is_leading():
--- a/src/pondtiller/gateway/engines/suspects.py
+++ b/src/pondtiller/gateway/engines/suspects.py
@@ -2,7 +2,7 @@
 
 Owns the quarantine and the news; both last as long as the process, the contents also in the store
 (`suspect_sharing`). When a content is held back is `routes.quarantine`; what its requests are
-answered is `routes.live_attempts.error_of_held_content`.
+answered is `routes.live_attempts.error_of_quarantined_content`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -13,8 +13,8 @@
 from pondtiller.errors import Failure, Ran
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.process import clock, logs
-from pondtiller.routes.live_attempts import error_of_held_content
-from pondtiller.routes.quarantine import Quarantine, Suspect, shown_content
+from pondtiller.routes.live_attempts import error_of_quarantined_content
+from pondtiller.routes.quarantine import Quarantine, Suspect, abbreviate_content
 
 TELL_SECONDS = 0.3
 """How long a first end is kept to itself. Most requests that broke off with an engine are answered
@@ -66,7 +66,9 @@
 
     def is_held(self, content: str) -> bool:
         """Return whether no engine may get a content."""
-        return bool(self.quarantine.suspects) and self.quarantine.is_held(content, clock.wall())
+        return bool(self.quarantine.suspects) and self.quarantine.is_quarantined(
+            content, clock.wall()
+        )
 
     def is_suspect(self, content: str) -> bool:
         """Return whether an engine is known to have ended under a content."""
@@ -74,7 +76,7 @@
 
     def ends(self, content: str) -> int:
         """Return how many engines ended under a content, as far as it is known."""
-        return self.quarantine.ends(content)
+        return self.quarantine.crash_count(content)
 
     def known_ends(self, content: str) -> frozenset[str]:
         """Return the starts of engines that are known to have ended under a content."""
@@ -90,18 +92,18 @@
             Whether an engine may have begun it before.
         """
         self._metrics.held_contents += 1
-        kind = error_of_held_content(ran)
+        kind = error_of_quarantined_content(ran)
         if ran is not Ran.NO:
             return Failure(kind)
         left = self.quarantine.seconds_left(content, clock.wall())
         return Failure(kind, retry_after_seconds=left)
 
-    async def note_end(self, content: str, engine: str) -> None:
+    async def note_crash(self, content: str, engine: str) -> None:
         """Take that an engine ended under a content."""
         if not content:
             return
         now = clock.monotonic()
-        suspect = self.quarantine.note_end(content, engine, now, clock.wall())
+        suspect = self.quarantine.note_crash(content, engine, now, clock.wall())
         if suspect is None:
             return
         is_soon = len(suspect.ends) >= SOON_ENDS
@@ -118,9 +120,9 @@
         if told.ends and self.quarantine.was_answered(told.content, clock.monotonic()):
             self.untold[told.content] = clock.monotonic()
             await self.has_news.set()
-            logs.decision("content_cleared", content=shown_content(told.content))
+            logs.decision("content_cleared", content=abbreviate_content(told.content))
             return False
-        return self.quarantine.take(told)
+        return self.quarantine.merge_report(told)
 
     async def note_answer(self, content: str) -> None:
         """Take that an engine answered a content."""
@@ -130,15 +132,15 @@
         if self.untold.pop(content, None) is None:
             self.untold[content] = clock.monotonic()
             await self.has_news.set()
-        logs.decision("content_cleared", content=shown_content(content))
+        logs.decision("content_cleared", content=abbreviate_content(content))
 
     def _log(self, suspect: Suspect, engine: str) -> None:
         logs.decision(
             "content_suspected",
-            content=shown_content(suspect.content),
+            content=abbreviate_content(suspect.content),
             engine=engine,
             ends=len(suspect.ends),
-            is_held=suspect.is_held,
+            is_held=suspect.is_quarantined,
         )
 
 
--- a/src/pondtiller/gateway/engines/zone_reach.py
+++ b/src/pondtiller/gateway/engines/zone_reach.py
@@ -39,7 +39,7 @@
 
     def note_heard(self, engine: Engine) -> None:
         """Take that an engine answered: its zone can be reached."""
-        if self._silent_zones.note_heard(engine.entry.zone):
+        if self._silent_zones.note_answer(engine.entry.zone):
             logs.decision("zone_heard", zone=engine.entry.zone, engine=engine.identifier)
 
     def _note_silent(self, engine: Engine) -> None:
--- a/src/pondtiller/gateway/housekeeping.py
+++ b/src/pondtiller/gateway/housekeeping.py
@@ -44,7 +44,7 @@
                 pause = min(2 * pause, LONGEST_SEARCH_SECONDS)
                 await self._find_replicas()
             parts.leadership.may_stand = parts.is_ready()
-            parts.engines.keep_house(now)
+            parts.engines.drop_expired(now)
             parts.cold.look(now)
             parts.stale_configuration.look()
             await parts.pool.forget(set(parts.engines.engines))
--- a/src/pondtiller/gateway/leader/rate_duty.py
+++ b/src/pondtiller/gateway/leader/rate_duty.py
@@ -64,6 +64,6 @@
             answer.totals.append(terms.total)
         return answer
 
-    def keep_house(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget rates that nobody uses."""
-        self._grantor.keep_house(now)
+        self._grantor.drop_expired(now)
--- a/src/pondtiller/gateway/leader/sample_runs.py
+++ b/src/pondtiller/gateway/leader/sample_runs.py
@@ -32,7 +32,7 @@
 from pondtiller.rollouts.samples import SampleScheduler
 from pondtiller.routes.cold import ColdEngines
 from pondtiller.routes.engines import Engine, EngineDirectory
-from pondtiller.routes.send_gate import Held
+from pondtiller.routes.send_gate import BlockReason
 from pondtiller.routes.tenants import owned_name
 
 SCORE_RETRY_SECONDS = 0.1
@@ -143,7 +143,7 @@
         if self._parts.scaling is not None and is_measured:
             self._parts.scaling.note_run(work, clock.monotonic() - began)
         self._scheduler.run_ended(start.run, outcome.end, clock.monotonic())
-        if engine is not None and outcome.detail == Held.EVACUATED.value:
+        if engine is not None and outcome.detail == BlockReason.EVACUATED.value:
             engine.note_evacuated(clock.monotonic())
         logs.decision(
             "sample_run_ended",
--- a/src/pondtiller/gateway/leader/standing.py
+++ b/src/pondtiller/gateway/leader/standing.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from pondtiller.routes.places import Distance, Places
+from pondtiller.routes.topology import Distance, Topology
 from pondtiller.steplog.group import write_quorum
 from pondtiller.wire.steplog import GroupMember
 
@@ -71,7 +71,7 @@
     handicap: float
     zone: str
     members: Sequence[GroupMember]
-    places: Places
+    places: Topology
     is_order_holder: bool
 
 
--- a/src/pondtiller/gateway/leader/term.py
+++ b/src/pondtiller/gateway/leader/term.py
@@ -252,7 +252,7 @@
             if now >= next_expiry:
                 next_expiry = now + EXPIRE_SECONDS
                 await self._expire()
-                self.rates.keep_house(now)
+                self.rates.drop_expired(now)
             await curio.ignore_after(TICK_SECONDS, self.wake.wait)
 
     async def _restore_samples(self) -> None:
--- a/src/pondtiller/gateway/pages/figure_sources.py
+++ b/src/pondtiller/gateway/pages/figure_sources.py
@@ -79,7 +79,7 @@
             "ends_seen": metrics.ends_seen,
             "entries_unread": self.watches.entries_unread,
             "store_objects_unread": self.store.unread,
-            "engines_started_again": self.engines.starts_again,
+            "engines_started_again": self.engines.restarts,
             "held_contents": metrics.held_contents,
             "scale_orders": metrics.scale_orders,
             "scale_orders_failed": metrics.scale_orders_failed,
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -48,10 +48,10 @@
 from pondtiller.routes.cold import SUBJECT_PREFIX as COLD_PREFIX
 from pondtiller.routes.cold import ColdBound, ColdEngines
 from pondtiller.routes.engines import EngineDirectory
-from pondtiller.routes.places import Places
 from pondtiller.routes.rates import SUBJECT_PREFIX as TENANT_PREFIX
 from pondtiller.routes.send_gate import SendGate
 from pondtiller.routes.table import RouteTable
+from pondtiller.routes.topology import Topology
 from pondtiller.settings import GatewaySettings
 from pondtiller.steplog.fault_tolerance import PlaceRules
 from pondtiller.store.evacuation_watch import EvacuationWatch
@@ -75,7 +75,7 @@
         self.settings = settings
         self.is_stopping = False
         self.metrics = GatewayMetrics()
-        self.places = Places(settings.regions)
+        self.places = Topology(settings.regions)
         self.engines = EngineDirectory(self.places)
         self.store = ObjectClient(to_address(settings.store), HttpClient(LONGEST_REST_SECONDS))
         self._health = StoreHealth()
--- a/src/pondtiller/gateway/runs/sample_runner.py
+++ b/src/pondtiller/gateway/runs/sample_runner.py
@@ -27,7 +27,7 @@
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName, ScoreEnd
 from pondtiller.routes.live_attempts import scorer_plan
 from pondtiller.routes.quarantine import sample_content
-from pondtiller.routes.send_gate import Held, SendGate
+from pondtiller.routes.send_gate import BlockReason, SendGate
 from pondtiller.routes.table import RouteTable
 from pondtiller.wire.steplog import Sample, Scorer
 
@@ -148,7 +148,7 @@
     async def run(self, order: RunOrder, take: EventSink) -> RunOutcome:
         """Run a sample on an engine; `take` gets each event and says whether to go on."""
         if self._gate.engines.has_left(order.engine, clock.monotonic()):
-            return RunOutcome(RunEnd.REFUSED, Held.LEAVING.value)
+            return RunOutcome(RunEnd.REFUSED, BlockReason.LEAVING.value)
         connection: EngineConnection | None = None
         content = sample_content(order.sample)
         suspects = self._forwarder.suspects
@@ -159,7 +159,7 @@
             if self._is_overruled(order):
                 await self._pool.give_back_unused(connection)
                 connection = None
-                return RunOutcome(RunEnd.REFUSED, Held.OLD_TABLE.value)
+                return RunOutcome(RunEnd.REFUSED, BlockReason.OLD_TABLE.value)
             outcome = await self._stream(order, connection, take)
             if outcome.end in ANSWERED_ENDS:
                 await suspects.note_answer(content)
--- a/src/pondtiller/gateway/tests/test_cold_sends.py
+++ b/src/pondtiller/gateway/tests/test_cold_sends.py
@@ -16,7 +16,7 @@
 from pondtiller.routes import cold
 from pondtiller.routes.cold import ColdBound, ColdEngines
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
-from pondtiller.routes.send_gate import Held, SendGate
+from pondtiller.routes.send_gate import BlockReason, SendGate
 from pondtiller.routes.table import RouteTable, ServiceRow
 from pondtiller.wire.steplog import AskShares, SharesGranted
 
@@ -35,7 +35,7 @@
         self.asked: list[AskShares] = []
         self.most = 100
         engines = EngineDirectory()
-        engines.replace([entry("cold", 9.0), entry("warm", 0.0)], clock.monotonic())
+        engines.replace_entries([entry("cold", 9.0), entry("warm", 0.0)], clock.monotonic())
         known = ColdEngines(engines, ColdBound(1.5, 5.0), lambda: TABLE)
         self.shares = ShareAsker("me", self.ask, lambda: leader)
         self.sends = ColdSends(known, self.shares, GatewayMetrics())
@@ -48,7 +48,7 @@
         granted = [min(each, self.most) for each in message.wanted]
         return SharesGranted(granted=granted, totals=[14] * len(granted))
 
-    async def send(self, engine: str) -> Held | None:
+    async def send(self, engine: str) -> BlockReason | None:
         await self.sends.prepare(engine, clock.monotonic() + 9.0)
         return self.gate.check(engine, clock.monotonic())
 
@@ -71,7 +71,7 @@
         assert await gateway.send("cold") is None
         assert [each.epoch for each in gateway.asked][:1] == [LEADER.epoch]
         # Nobody waited again: the gate alone decides.
-        assert gateway.gate.check("cold", clock.monotonic()) is Held.COLD
+        assert gateway.gate.check("cold", clock.monotonic()) is BlockReason.COLD
 
     run(gateway, test)
 
@@ -85,7 +85,7 @@
 
     async def test() -> None:
         began = clock.monotonic()
-        assert await gateway.send("cold") is Held.COLD
+        assert await gateway.send("cold") is BlockReason.COLD
         assert clock.monotonic() < began + 4.0
 
     run(gateway, test)
@@ -95,7 +95,7 @@
     gateway = Gateway(leader=None)
 
     async def test() -> None:
-        assert await gateway.send("cold") is Held.COLD
+        assert await gateway.send("cold") is BlockReason.COLD
         assert not gateway.asked
 
     run(gateway, test)
@@ -113,7 +113,7 @@
         for engine in ("new", "warm"):
             gateway.sends.told(engine)
             held = [await gateway.send(engine) for _ in range(4)]
-            assert held == [None, None, Held.COLD, Held.COLD]
+            assert held == [None, None, BlockReason.COLD, BlockReason.COLD]
 
     run(gateway, test)
 
@@ -121,7 +121,7 @@
 def test_a_burst_gets_as_many_places_as_the_leader_grants_and_no_place_is_given_twice() -> None:
     """Six that waited all woke at the first share, of one place, and five were refused."""
     gateway = Gateway()
-    held: list[Held | None] = []
+    held: list[BlockReason | None] = []
 
     async def one() -> None:
         await gateway.sends.prepare("cold", clock.monotonic() + 9.0)
--- a/src/pondtiller/gateway/tests/test_distances.py
+++ b/src/pondtiller/gateway/tests/test_distances.py
@@ -21,15 +21,15 @@
 from pondtiller.process import clock
 from pondtiller.rollouts.sample_work import ScoreEnd
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
-from pondtiller.routes.places import Places
 from pondtiller.routes.send_gate import SendGate
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable, ServiceShare
+from pondtiller.routes.topology import Topology
 from pondtiller.steplog.fault_tolerance import PlaceRules, Tolerance
 from pondtiller.steplog.follower import Follower
 from pondtiller.store.mirrored_store import MirroredStore
 from pondtiller.wire.steplog import Group, GroupMember, Sample, Scorer
 
-PLACES = Places({"s1": "s", "s2": "s", "s3": "s", "n1": "n", "n2": "n"})
+PLACES = Topology({"s1": "s", "s2": "s", "s3": "s", "n1": "n", "n2": "n"})
 
 
 class Fleet:
@@ -42,7 +42,7 @@
             EngineEntry(f"{zone}.{count}", "app", place, zone, 6, EngineState.READY)
             for count, zone in enumerate(zones)
         ]
-        self.engines.replace(entries, 0.0)
+        self.engines.replace_entries(entries, 0.0)
         self.cut: set[str] = set()
         self.tried: list[str] = []
         pool = EnginePool()
--- a/src/pondtiller/gateway/tests/test_ending_requests.py
+++ b/src/pondtiller/gateway/tests/test_ending_requests.py
@@ -28,7 +28,7 @@
 from pondtiller.platform import names
 from pondtiller.process import clock
 from pondtiller.routes import quarantine
-from pondtiller.routes.quarantine import MOST_ENDS, MOST_SAMPLE_ENDS, QUARANTINE_SECONDS
+from pondtiller.routes.quarantine import MAX_CALLER_CRASHES, MAX_SAMPLE_CRASHES, QUARANTINE_SECONDS
 from pondtiller.standins.documents import configuration, step_body
 from pondtiller.standins.ending_engine import DOWN_SECONDS, ENDING, EndingEngine, EndingRun
 
@@ -167,7 +167,7 @@
         await until_ready(system)
         assert (await system.call("POST", "/quote/7", b"sound", 0, request_id="q")).status == 200
         (content,) = system.gateways[0].suspects.quarantine._answered
-        ends = [f"e{number}@1" for number in range(MOST_ENDS)]
+        ends = [f"e{number}@1" for number in range(MAX_CALLER_CRASHES)]
         spec = {"ends": ends, "until": clock.wall() + QUARANTINE_SECONDS}
         system.store.put(names.SUSPECTS, content, spec)
         stored = system.store.kinds[names.SUSPECTS]
@@ -185,8 +185,8 @@
     scorer = step_body("s1", 1, 1)["requests"][0]["scorer"]
     body = base64.b64decode(scorer["body"])
     content = content_digest(scorer["host"].encode(), scorer["path"].encode(), body)
-    for number in range(MOST_ENDS):
-        await system.gateways[0].suspects.note_end(content, f"e{number}@1")
+    for number in range(MAX_CALLER_CRASHES):
+        await system.gateways[0].suspects.note_crash(content, f"e{number}@1")
     await system.until(lambda: all(held_at(system, each) for each in range(len(system.gateways))))
     return content
 
@@ -287,7 +287,7 @@
         held = [
             each
             for each in system.gateways[0].suspects.quarantine.suspects.values()
-            if each.is_held
+            if each.is_quarantined
         ]
         assert len(held) == 1
 
@@ -343,14 +343,14 @@
         assert {each["id"] for each in listed} == {"s1-0", "s1-1", "s1-2"}
         await curio.sleep(TOLD_SECONDS)
         runs = [run for engine in engines for run in engine.runs]
-        assert len(runs) >= MOST_SAMPLE_ENDS
+        assert len(runs) >= MAX_SAMPLE_CRASHES
         await curio.sleep(2.0)
         # The next leader learns of it too.
         leader = next(each for each in system.gateways if each.duties.term is not None)
         await leader.leadership.resign()
         await curio.sleep(3.0)
         runs = [run for engine in engines for run in engine.runs]
-        assert runs_after_the_last_end(runs, MOST_SAMPLE_ENDS) == []
+        assert runs_after_the_last_end(runs, MAX_SAMPLE_CRASHES) == []
 
     run_system(tmp_path, test, gateways=2)
 
--- a/src/pondtiller/gateway/tests/test_engine_ends.py
+++ b/src/pondtiller/gateway/tests/test_engine_ends.py
@@ -16,9 +16,9 @@
     engines = EngineDirectory()
     state = EngineState.LEAVING if known == "leaving" else EngineState.READY
     entry = EngineEntry("e", "llm", Address("127.0.0.1", 1), "z", 4, state)
-    engines.replace([] if known == "unknown" else [entry], 0.0)
+    engines.replace_entries([] if known == "unknown" else [entry], 0.0)
     if known == "gone":
-        engines.gone("e", 0.0)
+        engines.remove_entry("e", 0.0)
     return engines
 
 
--- a/src/pondtiller/gateway/tests/test_engines_start_again.py
+++ b/src/pondtiller/gateway/tests/test_engines_start_again.py
@@ -51,7 +51,7 @@
                 lines = [f"{each['id']}/{number}" for number in range(1, 7)]
                 assert each["text"] == "\n".join(lines)
         await ending.cancel()
-        assert sum(each.engines.starts_again for each in system.gateways) > 0
+        assert sum(each.engines.restarts for each in system.gateways) > 0
 
     run_system(tmp_path, test, gateways=2)
 
--- a/src/pondtiller/gateway/tests/test_evacuation_watch.py
+++ b/src/pondtiller/gateway/tests/test_evacuation_watch.py
@@ -36,7 +36,7 @@
 def play(act: Callable[[EvacuationWatch, EngineDirectory], Awaitable[None]]) -> EngineDirectory:
     engines = EngineDirectory()
     engine = EngineEntry("e", "app", Address("10.0.0.1", 1), "b", 4, EngineState.READY)
-    engines.replace([engine], 0.0)
+    engines.replace_entries([engine], 0.0)
 
     async def changed() -> None:
         pass
--- a/src/pondtiller/gateway/tests/test_held_scorers.py
+++ b/src/pondtiller/gateway/tests/test_held_scorers.py
@@ -25,7 +25,7 @@
 from pondtiller.platform.object_client import StoreObject
 from pondtiller.process import clock
 from pondtiller.routes import quarantine
-from pondtiller.routes.quarantine import MOST_ENDS, Suspect
+from pondtiller.routes.quarantine import MAX_CALLER_CRASHES, Suspect
 from pondtiller.standins.documents import step_body
 from pondtiller.standins.ending_engine import ENDING, EndingEngine, ends_engine
 
@@ -156,7 +156,7 @@
 async def hold_another(system: System, engine: EndingEngine) -> None:
     """Have an engine, and one more, end under ordinary requests of another content."""
     for start in (engine.identifier, "e9@1"):
-        await system.gateways[0].suspects.note_end("another", start)
+        await system.gateways[0].suspects.note_crash("another", start)
 
 
 async def hold_until_trial(system: System, score: Score) -> EndingEngine:
@@ -244,9 +244,9 @@
 
 async def hold_together(system: System, contents: list[str]) -> None:
     """Have two engines end under all of some contents."""
-    for number in range(MOST_ENDS):
+    for number in range(MAX_CALLER_CRASHES):
         for content in contents:
-            await system.gateways[0].suspects.note_end(content, f"e{number}@1")
+            await system.gateways[0].suspects.note_crash(content, f"e{number}@1")
     await system.until(lambda: all(is_held_by_all(system, each) for each in contents))
     await system.until(lambda: len(system.store.kinds.get(names.SUSPECTS, {})) == len(contents))
 
--- a/src/pondtiller/gateway/tests/test_late_answers.py
+++ b/src/pondtiller/gateway/tests/test_late_answers.py
@@ -11,7 +11,7 @@
 from pondtiller.gateway.tests.test_live_load import FakeEngine, Gateway
 from pondtiller.process import clock
 from pondtiller.routes.engines import Engine
-from pondtiller.routes.send_gate import Held
+from pondtiller.routes.send_gate import BlockReason
 
 WORK_SECONDS = 0.2
 
@@ -26,7 +26,7 @@
     counted: list[float] = []
     take = gateway.forwarder._pool.take
 
-    def count(_engine: Engine, now: float) -> Held | None:
+    def count(_engine: Engine, now: float) -> BlockReason | None:
         counted.append(now)
         return None
 
--- a/src/pondtiller/gateway/tests/test_leader_store.py
+++ b/src/pondtiller/gateway/tests/test_leader_store.py
@@ -23,7 +23,7 @@
 )
 from pondtiller.rollouts.versions import OrderVersion, VersionSteward
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
-from pondtiller.routes.places import Places
+from pondtiller.routes.topology import Topology
 from pondtiller.store import relayed_store
 from pondtiller.store.relayed_store import RelayedStore
 from pondtiller.store.store_watch import StoreHealth
@@ -100,7 +100,7 @@
 
 def steward_of_three() -> VersionSteward:
     """Return a steward of six engines that have three trainers' first versions."""
-    engines = EngineDirectory(Places())
+    engines = EngineDirectory(Topology())
     entries = [
         EngineEntry(
             f"e{number}",
@@ -113,7 +113,7 @@
         )
         for number in range(6)
     ]
-    engines.replace(entries, 0.0)
+    engines.replace_entries(entries, 0.0)
     steward = VersionSteward(engines, may_order_from=0.0)
     for entry in entries:
         steward.reported(entry.engine, dict(entry.models), 0, False)
--- a/src/pondtiller/gateway/tests/test_lease_renewal.py
+++ b/src/pondtiller/gateway/tests/test_lease_renewal.py
@@ -66,12 +66,14 @@
 
 
 @pytest.mark.parametrize("is_named", [True, False])
-def test_a_runner_offers_its_runs_to_a_leader_that_returns_from_a_pause(is_named: bool) -> None:
+def test_a_runner_offers_its_runs_to_a_leader_that_returns_from_a_pause(
+    has_service_row: bool,
+) -> None:
     """Guards against runs that end just before their leader asks for them again."""
 
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        world.epoch, world.leader_age = 5 if is_named else None, 1.0
+        world.epoch, world.leader_age = 5 if has_service_row else None, 1.0
         await world.host.take(first, BEGIN)
         world.host.by_link[first].heard_at -= LEADER_SILENT_SECONDS
         await world.host.lost(first)
--- a/src/pondtiller/gateway/tests/test_live_load.py
+++ b/src/pondtiller/gateway/tests/test_live_load.py
@@ -91,7 +91,7 @@
         self.fakes = {f"e{count}": engine for count, engine in enumerate(engines)}
         place = Address("10.0.0.1", 1)
         self.engines = EngineDirectory()
-        self.engines.replace(
+        self.engines.replace_entries(
             [EngineEntry(name, "app", place, "z", SLOTS, EngineState.READY) for name in self.fakes],
             0.0,
         )
--- a/src/pondtiller/gateway/tests/test_live_streams.py
+++ b/src/pondtiller/gateway/tests/test_live_streams.py
@@ -47,7 +47,7 @@
 def test_a_stream_that_broke_off_while_it_left_is_not_answered_as_not_run(may_resume: bool) -> None:
     engines = EngineDirectory()
     place = Address("10.0.0.1", 1)
-    engines.replace([EngineEntry("e0", "app", place, "z", 2, EngineState.READY)], 0.0)
+    engines.replace_entries([EngineEntry("e0", "app", place, "z", 2, EngineState.READY)], 0.0)
     pool = EnginePool()
 
     async def take(_engine: str, _address: Address) -> Any:
--- a/src/pondtiller/gateway/tests/test_request_routing.py
+++ b/src/pondtiller/gateway/tests/test_request_routing.py
@@ -17,9 +17,9 @@
 from pondtiller.httpio.messages import parse_target
 from pondtiller.platform.configuration import route_table, without_keys
 from pondtiller.platform.requests import CallerRequest, read_request
-from pondtiller.routes.places import Places
 from pondtiller.routes.retry_after import RETRY_AFTER_SECONDS
 from pondtiller.routes.table import RouteTable
+from pondtiller.routes.topology import Topology
 
 ROUTE = {"host": "h", "kind": "safe", "service": "s"}
 SPEC = {
@@ -36,7 +36,7 @@
         {"name": "southern", "api_keys": ["south"], "allowed_regions": ["south"]},
     ],
 }
-PLACES = Places({"z0": "north", "z1": "south"})
+PLACES = Topology({"z0": "north", "z1": "south"})
 
 
 def table() -> RouteTable:
--- a/src/pondtiller/gateway/tests/test_standing.py
+++ b/src/pondtiller/gateway/tests/test_standing.py
@@ -16,10 +16,10 @@
     handicap,
     stand_delay,
 )
-from pondtiller.routes.places import Places
+from pondtiller.routes.topology import Topology
 from pondtiller.wire.steplog import GroupMember
 
-PLACES = Places({"s1": "s", "s2": "s", "n1": "n"})
+PLACES = Topology({"s1": "s", "s2": "s", "n1": "n"})
 READY = CandidateView(may_stand=True, hears_replicas=True, is_led=False)
 
 
--- a/src/pondtiller/gateway/tests/test_suspended.py
+++ b/src/pondtiller/gateway/tests/test_suspended.py
@@ -125,7 +125,7 @@
         place = Address(host, int(port))
         engines = EngineDirectory()
         entry = EngineEntry("e", "app", place, "z", 4, EngineState.READY)
-        engines.replace([entry], clock.monotonic())
+        engines.replace_entries([entry], clock.monotonic())
         pool = EnginePool()
         take = pool.take
 
@@ -181,8 +181,8 @@
 def test_an_engine_whose_entry_went_before_the_sleep_gets_nothing_after_it(sleep: Sleep) -> None:
     engines = EngineDirectory()
     entry = EngineEntry("e", "app", Address("10.0.0.1", 1), "z", 4, EngineState.READY)
-    engines.replace([entry], clock.monotonic())
-    engines.gone("e", clock.monotonic())
+    engines.replace_entries([entry], clock.monotonic())
+    engines.remove_entry("e", clock.monotonic())
     sleep(3.0)
     assert engines.usable("app", clock.monotonic()) == []
     assert SendGate(engines).check("e", clock.monotonic()) is not None
--- a/src/pondtiller/gateway/watches.py
+++ b/src/pondtiller/gateway/watches.py
@@ -136,7 +136,7 @@
         entries = [self._read_entry(each) for each in found]
         known = [entry for entry in entries if entry is not None]
         unread = {each.name for each, entry in zip(found, entries, strict=True) if entry is None}
-        self._engines.replace(known, now, unread)
+        self._engines.replace_entries(known, now, unread)
         self._unread = {name: why for name, why in self._unread.items() if name in unread}
         logs.decision("engines_listed", engines=len(known), revision=self._engines.revision)
         await self._changed()
@@ -146,13 +146,13 @@
         entry = None if change.is_gone else self._read_entry(change.object)
         if change.is_gone:
             self._unread.pop(name, None)
-            self._engines.gone(name, now)
+            self._engines.remove_entry(name, now)
             logs.decision("engine_gone", engine=name, revision=self._engines.revision)
         elif entry is None:
-            self._engines.unread(name)
+            self._engines.mark_unreadable(name)
         else:
             known = self._engines.current(name)
-            self._engines.changed(entry, now)
+            self._engines.update_entry(entry, now)
             self._log_entry(entry, known.entry if known is not None else None)
         await self._changed()
 
--- a/src/pondtiller/peers/usage_teller.py
+++ b/src/pondtiller/peers/usage_teller.py
@@ -29,7 +29,7 @@
 """Over this time after the end of a window the gateways say that they have counted all of it.
 
 Spreads their calls to one leader. Chosen, not measured."""
-HASH_SPAN = 1 << 64
+HASH_RANGE = 1 << 64
 """Values of `hashing.score`, without unit: divides one into a part of `SPREAD_SECONDS`."""
 
 
@@ -56,7 +56,7 @@
         self._steps = steps
         self._find_leader = find_leader
         self._incarnation = clock.new_incarnation()
-        self._delay = score("tell", name) / HASH_SPAN * SPREAD_SECONDS
+        self._delay = score("tell", name) / HASH_RANGE * SPREAD_SECONDS
         self._epoch = 0
         self._next = 0.0
         self._window = 0
--- a/src/pondtiller/rollouts/model_fleet.py
+++ b/src/pondtiller/rollouts/model_fleet.py
@@ -51,7 +51,7 @@
         entry = engine.entry
         if engine.gone_at is not None or entry.state is not EngineState.READY:
             continue
-        if directory.is_evacuated(engine) or not directory.is_named(engine):
+        if directory.is_evacuated(engine) or not directory.has_service_row(engine):
             continue
         for model in entry.models:
             fleet = fleets.setdefault(model, ModelFleet())
--- a/src/pondtiller/rollouts/place_cost.py
+++ b/src/pondtiller/rollouts/place_cost.py
@@ -6,7 +6,7 @@
 """
 
 from pondtiller.routes.engines import Engine
-from pondtiller.routes.places import Distance, Places
+from pondtiller.routes.topology import Distance, Topology
 
 GROUP_BONUS = 0.4
 """By how much a place is cheaper where a sample of the same group runs, in parts of a full engine:
@@ -36,7 +36,7 @@
         Of the leader, to which all events of the runs go.
     """
 
-    def __init__(self, places: Places, zone: str) -> None:
+    def __init__(self, places: Topology, zone: str) -> None:
         self._places = places
         self._zone = zone
 
--- a/src/pondtiller/rollouts/placement.py
+++ b/src/pondtiller/rollouts/placement.py
@@ -213,7 +213,7 @@
     def suits(self, engine: Engine, work: SampleWork) -> bool:
         """Return whether an engine may make the rest of a sample: its region and its weights."""
         homes = work.route.homes
-        return self.engines.places.may_hold(engine.entry.zone, homes) and self.has_weights(
+        return self.engines.places.allows_zone(engine.entry.zone, homes) and self.has_weights(
             engine, work
         )
 
--- a/src/pondtiller/rollouts/progress.py
+++ b/src/pondtiller/rollouts/progress.py
@@ -73,10 +73,10 @@
             is_young = not work.moves and now < work.run_started + WORTH_KEEPING_SECONDS
             if not text.events or text.is_whole or (is_young and not is_last):
                 continue
-            after = before.get(work.kept_as, 0)
+            after = before.get(work.storage_name, 0)
             if text.last_event != after:
                 found.append(_since(work, after))
-            known[work.kept_as] = text.last_event
+            known[work.storage_name] = text.last_event
         self.sent[link] = known
         return found
 
@@ -87,7 +87,7 @@
     if text.last_event < after:
         after = 0
     return SampleProgress(
-        id=work.kept_as,
+        id=work.storage_name,
         parts=[pack_events(text.events[after:])],
         versions=text.versions,
         last_event=text.last_event,
--- a/src/pondtiller/rollouts/run_table.py
+++ b/src/pondtiller/rollouts/run_table.py
@@ -75,7 +75,7 @@
         """End a sample's run before its engine does; None where it has none."""
         if self.runs.pop(work.run, None) is None:
             return None
-        self._ending[work.run] = work.kept_as
+        self._ending[work.run] = work.storage_name
         self._free_place(work)
         return CancelRun(work.run, work.sample_id, work.engine, reason)
 
--- a/src/pondtiller/rollouts/runner_choice.py
+++ b/src/pondtiller/rollouts/runner_choice.py
@@ -14,7 +14,7 @@
 
 from pondtiller.address import Address
 from pondtiller.routes.engines import Engine
-from pondtiller.routes.places import Distance, Places
+from pondtiller.routes.topology import Distance, Topology
 
 RUNS_PER_CORE = 30.0
 """Streams that a core may hold: each takes 0.7 % of one (20 events a second at 0.35 ms), with
@@ -80,9 +80,9 @@
         Of the leader, which serves an engine itself where only runners of other regions could.
     """
 
-    def __init__(self, places: Places | None = None, zone: str = "") -> None:
+    def __init__(self, places: Topology | None = None, zone: str = "") -> None:
         self.runner_of: dict[str, str] = {}
-        self._places = places or Places()
+        self._places = places or Topology()
         self._zone = zone
 
     def choose(self, engine: Engine, runners: Mapping[str, Daemon]) -> str | None:
--- a/src/pondtiller/rollouts/sample_work.py
+++ b/src/pondtiller/rollouts/sample_work.py
@@ -231,7 +231,7 @@
         Tokens that are expected to be made.
     size
         The same against the mean of the step's samples.
-    kept_as
+    storage_name
         Name under which its unfinished text is kept: two tenants may use the same identifier.
     order
         Where it stands among the samples that wait.
@@ -294,8 +294,8 @@
         step = self.step.step
         self.step_id: str = step.id
         self.sample_id: str = self.sample.id
-        self.kept_as: str = owned_name(step.tenant, self.sample.id)
-        self.content: str = sample_content(self.kept_as)
+        self.storage_name: str = owned_name(step.tenant, self.sample.id)
+        self.content: str = sample_content(self.storage_name)
         self.group: str = self.sample.group
         self.model: str = step.model
         self.oldest_version: int = step.oldest_version
--- a/src/pondtiller/rollouts/samples.py
+++ b/src/pondtiller/rollouts/samples.py
@@ -40,7 +40,7 @@
 from pondtiller.rollouts.unfinished_texts import UnfinishedTexts
 from pondtiller.routes.cold import ColdEngines
 from pondtiller.routes.engines import Engine, EngineDirectory
-from pondtiller.routes.quarantine import ALONE_ENDS
+from pondtiller.routes.quarantine import SERIAL_SAMPLE_CRASHES
 from pondtiller.routes.table import RouteRow
 from pondtiller.wire.steplog import SampleProgress, SampleResult
 
@@ -136,7 +136,9 @@
                 continue
             work = SampleWork(record, route, sample, sample.expected_tokens)
             work.size = work.cost / mean if mean else 1.0
-            work.text = self._texts.adopt(work.kept_as, work.oldest_version, route.single_version)
+            work.text = self._texts.adopt(
+                work.storage_name, work.oldest_version, route.single_version
+            )
             work.late_at = late_at(work.accepted_at, route.queue_seconds)
             work.order = start_order(work.accepted_at, route.priority, work.cost, work.size)
             work.table_version = table_version
@@ -166,7 +168,7 @@
         for key in [key for key in self.work if key[0] == step]:
             work = self.work.pop(key)
             self._stop_run(work, CancelReason.STEP_ENDED)
-            self._texts.keep(work.kept_as, work.text)
+            self._texts.keep(work.storage_name, work.text)
 
     def keep_progress(self, progress: SampleProgress) -> None:
         """Take a text that an earlier leader left; the longest where several replicas have one."""
@@ -297,7 +299,7 @@
         ending = self._table.ending
         if ending:
             # An engine may be at work on it until its runner says that it is not.
-            waiting = [work for work in waiting if work.kept_as not in ending]
+            waiting = [work for work in waiting if work.storage_name not in ending]
         return waiting
 
     def _start_in_order(self, waiting: list[SampleWork], now: float) -> None:
@@ -324,13 +326,15 @@
             self._try_start(work, now)
 
     def _is_run_alone(self, work: SampleWork) -> bool:
-        return self._ends(work.content) >= ALONE_ENDS
+        return self._ends(work.content) >= SERIAL_SAMPLE_CRASHES
 
     def is_under_way(self, offered: OfferedRun) -> bool:
         """Return whether an offered run is one of this term that has not ended here."""
         work = self.runs.get(offered.name.run)
         return (
-            offered.name.epoch == self.epoch and work is not None and work.kept_as == offered.sample
+            offered.name.epoch == self.epoch
+            and work is not None
+            and work.storage_name == offered.sample
         )
 
     def take_over(self, offered: OfferedRun, runner: str, now: float) -> bool:
@@ -363,8 +367,10 @@
             return TakeOverRefusal.UNKNOWN_ENGINE
         return self._why_not_continued(offered, work, engine, now)
 
-    def _work_of(self, kept_as: str) -> SampleWork | None:
-        return next((each for each in self.work.values() if each.kept_as == kept_as), None)
+    def _work_of(self, storage_name: str) -> SampleWork | None:
+        return next(
+            (each for each in self.work.values() if each.storage_name == storage_name), None
+        )
 
     def _why_not_continued(
         self, offered: OfferedRun, work: SampleWork, engine: Engine, now: float
@@ -372,11 +378,11 @@
         sample = OfferedSample(
             stage=work.stage,
             is_routed=work.is_routed,
-            is_ending=work.kept_as in self._table.ending,
+            is_ending=work.storage_name in self._table.ending,
             has_left=work.has_left(engine.identifier, now),
             last_event=work.text.last_event,
             made_by=work.text.made_by,
-            in_home=self._engines.places.may_hold(engine.entry.zone, work.route.homes),
+            in_home=self._engines.places.allows_zone(engine.entry.zone, work.route.homes),
         )
         return why_not_taken_over(offered, sample)
 
@@ -390,11 +396,11 @@
 
         A run behind a cut would else be waited for until it counts as silent.
         """
-        if self._engines.starts_again == self._starts_seen:
+        if self._engines.restarts == self._starts_seen:
             return
-        self._starts_seen = self._engines.starts_again
+        self._starts_seen = self._engines.restarts
         for work in list(self.runs.values()):
-            if self._engines.has_started_again(work.engine):
+            if self._engines.has_restarted(work.engine):
                 self._stop_run(work, CancelReason.ENGINE_STARTED_AGAIN)
                 work.stage = Stage.WAITING
 
--- a/src/pondtiller/rollouts/tests/scheduling.py
+++ b/src/pondtiller/rollouts/tests/scheduling.py
@@ -29,7 +29,7 @@
 
     def __init__(self, engines: int = 2, oldest: int = 1) -> None:
         self.directory = EngineDirectory()
-        self.directory.replace([entry(f"e{number}") for number in range(engines)], 0.0)
+        self.directory.replace_entries([entry(f"e{number}") for number in range(engines)], 0.0)
         self.loading: set[str] = set()
         self.scheduler = SampleScheduler(self.directory, lambda engine, _: engine in self.loading)
         self.oldest = oldest
--- a/src/pondtiller/rollouts/tests/test_catching_up.py
+++ b/src/pondtiller/rollouts/tests/test_catching_up.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.directory = EngineDirectory()
         entries = [entry(f"e{number}", VERSION, SLOTS) for number in range(ENGINES)]
-        self.directory.replace(entries, 0.0)
+        self.directory.replace_entries(entries, 0.0)
         self.scheduler = SampleScheduler(self.directory, lambda _engine, _model: False)
         self.whole_at: dict[str, float] = {}
         self.versions: set[int] = set()
--- a/src/pondtiller/rollouts/tests/test_placement.py
+++ b/src/pondtiller/rollouts/tests/test_placement.py
@@ -5,16 +5,16 @@
 from pondtiller.rollouts.steps import StepBook
 from pondtiller.rollouts.tests.scheduling import ROUTE, entry
 from pondtiller.routes.engines import EngineDirectory
-from pondtiller.routes.places import Places
+from pondtiller.routes.topology import Topology
 from pondtiller.wire.steplog import Sample, Step
 
-PLACES = Places({"s1": "s", "s2": "s", "n1": "n"})
+PLACES = Topology({"s1": "s", "s2": "s", "n1": "n"})
 
 
-def shares(samples: int, places: Places = PLACES) -> dict[str, int]:
+def shares(samples: int, places: Topology = PLACES) -> dict[str, int]:
     """Return how many samples run on each of three engines of eight places; a leader in s1."""
     directory = EngineDirectory(places)
-    directory.replace([entry(zone, slots=8, zone=zone) for zone in ("n1", "s1", "s2")], 0.0)
+    directory.replace_entries([entry(zone, slots=8, zone=zone) for zone in ("n1", "s1", "s2")], 0.0)
     scheduler = SampleScheduler(directory, lambda _engine, _model: False, "s1")
     step = Step(id="step", model="m", oldest_version=1, accepted_at=0.0)
     for number in range(samples):
@@ -34,4 +34,4 @@
 
 
 def test_without_regions_all_engines_are_alike() -> None:
-    assert shares(12, Places()) == {"n1": 4, "s1": 4, "s2": 4}
+    assert shares(12, Topology()) == {"n1": 4, "s1": 4, "s2": 4}
--- a/src/pondtiller/rollouts/tests/test_runner_choice.py
+++ b/src/pondtiller/rollouts/tests/test_runner_choice.py
@@ -5,7 +5,7 @@
 from pondtiller.address import Address
 from pondtiller.rollouts.runner_choice import Daemon, EngineRunners, wanted_runners
 from pondtiller.routes.engines import Engine, EngineEntry, EngineState
-from pondtiller.routes.places import Places
+from pondtiller.routes.topology import Topology
 
 
 def daemon(name: str, zone: str = "z", cores: float = 1.0) -> Daemon:
@@ -62,7 +62,7 @@
     assert list(chosen.runner_of) == ["e1"]
 
 
-PLACES = Places({"s1": "s", "s2": "s", "n1": "n", "n2": "n"})
+PLACES = Topology({"s1": "s", "s2": "s", "n1": "n", "n2": "n"})
 
 
 def test_a_runner_of_another_region_serves_only_while_none_is_nearer() -> None:
--- a/src/pondtiller/rollouts/tests/test_samples.py
+++ b/src/pondtiller/rollouts/tests/test_samples.py
@@ -20,7 +20,7 @@
 from pondtiller.rollouts.tests.scheduling import ROUTE, Bench, entry
 from pondtiller.routes.cold import ColdBound, ColdEngines
 from pondtiller.routes.engines import Engine, EngineState
-from pondtiller.routes.quarantine import ALONE_ENDS
+from pondtiller.routes.quarantine import SERIAL_SAMPLE_CRASHES
 from pondtiller.routes.table import RouteTable, ServiceRow
 from pondtiller.wire.steplog import SampleProgress
 
@@ -130,7 +130,7 @@
     bench = Bench(engines=2, oldest=2)
     bench.open(size=1)
     assert starts(bench.tick(0.0)) == []
-    bench.directory.changed(entry("e1", version=2))
+    bench.directory.update_entry(entry("e1", version=2))
     bench.loading.add("e1")
     assert starts(bench.tick(0.1)) == []
     bench.loading.clear()
@@ -169,7 +169,7 @@
     bench.open(groups=1, size=4)
     works = list(bench.scheduler.work.values())
     for work in works[:3]:
-        ends[work.content] = ALONE_ENDS
+        ends[work.content] = SERIAL_SAMPLE_CRASHES
     begun = {run.sample.id: run.run for run in starts(bench.tick(0.0))}
     assert len(begun) == 2 and works[3].sample_id in begun
     (suspected,) = set(begun) - {works[3].sample_id}
@@ -216,10 +216,10 @@
 def slow_engine_bench(runs: int) -> tuple[Bench, list[StartRun]]:
     """Return a bench whose first engine is full of slow runs, beside one with few places."""
     bench = Bench(engines=0)
-    bench.directory.replace([entry("e0", slots=runs)], 0.0)
+    bench.directory.replace_entries([entry("e0", slots=runs)], 0.0)
     bench.open(size=runs)
     begun = starts(bench.tick(0.0))
-    bench.directory.changed(entry("e1", slots=3))
+    bench.directory.update_entry(entry("e1", slots=3))
     bench.directory.engines["e0"].event_seconds = 0.3
     bench.directory.engines["e1"].event_seconds = 0.03
     for run in begun:
@@ -451,7 +451,7 @@
 
 def test_nothing_is_placed_in_an_evacuated_zone_and_nothing_moves_there() -> None:
     bench = Bench(engines=2)
-    bench.directory.changed(replace(entry("e1"), zone="y"))
+    bench.directory.update_entry(replace(entry("e1"), zone="y"))
     bench.directory.evacuated = frozenset({"y"})
     bench.open(groups=2, size=2)
     begun = starts(bench.tick(0.0))
@@ -486,8 +486,8 @@
     table = RouteTable(1, services={"llm": ServiceRow("llm", cold_seconds=9.0, cold_rate=2.0)})
     cold = ColdEngines(bench.directory, ColdBound(1.5, 5.0), lambda: table)
     bench.scheduler = SampleScheduler(bench.directory, lambda *_: False, cold=cold)
-    bench.directory.changed(replace(entry("e0", slots=4), cold_seconds=9.0), 0.0)
-    bench.directory.changed(entry("e1", slots=4))
+    bench.directory.update_entry(replace(entry("e0", slots=4), cold_seconds=9.0), 0.0)
+    bench.directory.update_entry(entry("e1", slots=4))
     bench.open(groups=5)
     began = [each.engine for each in starts(bench.tick(1.0))]
     assert sorted(began) == ["e0", "e1", "e1", "e1", "e1"]
@@ -507,7 +507,7 @@
     there = [each for each in runs if each.engine == "e0"]
     assert there
     leaving = replace(entry("e0"), state=EngineState.LEAVING, leaves_seconds=2.0)
-    bench.directory.changed(leaving)
+    bench.directory.update_entry(leaving)
     for run in there:
         bench.scheduler.run_event(run.run, 1, "x", 1, 0.1)
     bench.scheduler.run_ended(there[0].run, RunEnd.WHOLE, 0.2)
--- a/src/pondtiller/rollouts/tests/test_shedding.py
+++ b/src/pondtiller/rollouts/tests/test_shedding.py
@@ -89,7 +89,7 @@
 
     def __init__(self) -> None:
         engines = EngineDirectory()
-        engines.replace([entry(f"e{number}", slots=6) for number in range(6)], 0.0)
+        engines.replace_entries([entry(f"e{number}", slots=6) for number in range(6)], 0.0)
         self.scheduler = SampleScheduler(engines, lambda _engine, _model: False)
         self.book = StepBook()
         self.records: dict[str, StepRecord] = {}
--- a/src/pondtiller/rollouts/tests/test_versions.py
+++ b/src/pondtiller/rollouts/tests/test_versions.py
@@ -16,7 +16,7 @@
 
 def steward(engines: int, models: dict[str, int]) -> VersionSteward:
     directory = EngineDirectory()
-    directory.replace([entry(f"e{number}", dict(models)) for number in range(engines)], 0.0)
+    directory.replace_entries([entry(f"e{number}", dict(models)) for number in range(engines)], 0.0)
     made = VersionSteward(directory)
     made.may_order_from = 0.0
     for number in range(engines):
@@ -37,7 +37,7 @@
             made.answered(order.engine, True, now)
             engine = made.engines.engines[order.engine]
             models = {**engine.entry.models, order.model: order.version}
-            made.engines.changed(entry(order.engine, models))
+            made.engines.update_entry(entry(order.engine, models))
             given.append(order)
     return given
 
@@ -49,7 +49,7 @@
     assert orders(made, 0.1) == []
     for name in list(made.loads):
         made.answered(name, True, 0.1)
-        made.engines.changed(entry(name, {"m": 2}))
+        made.engines.update_entry(entry(name, {"m": 2}))
     assert len(orders(made, 1.0)) == 2
 
 
@@ -87,7 +87,7 @@
 
 def test_only_engines_that_another_leader_ordered_lately_wait() -> None:
     made = steward(2, {"m": 1})
-    made.engines.replace([entry("e0", {"m": 1}), entry("e1", {"m": 1}, port=2)], 0.0)
+    made.engines.replace_entries([entry("e0", {"m": 1}), entry("e1", {"m": 1}, port=2)], 0.0)
     made.waits = {"10.0.0.1:2": 4.0}
     made.named("m", 2)
     assert [order.engine for order in orders(made, 3.9)] == ["e0"]
@@ -129,7 +129,7 @@
 
 def test_leaving_engines_are_not_ordered_and_slow_ones_last() -> None:
     made = steward(3, {"m": 1, "n": 1})
-    made.engines.changed(entry("e0", {"m": 1, "n": 1}, EngineState.LEAVING))
+    made.engines.update_entry(entry("e0", {"m": 1, "n": 1}, EngineState.LEAVING))
     for number, pace in ((1, 0.3), (2, 0.03)):
         made.engines.engines[f"e{number}"].event_seconds = pace
     made.named("m", 2)
@@ -148,7 +148,7 @@
     """Incident 2: the steward failed here, and its daemon led on without running samples."""
     made = steward(2, {"m": 1})
     made.named("m", 2)
-    made.engines.replace([], 0.0)
+    made.engines.replace_entries([], 0.0)
     assert orders(made, 0.1) == []
     assert load_shares(3, {}) == {}
 
@@ -161,7 +161,7 @@
     first = {each.engine for each in load_all(made, 0.0)}
     assert len(first) == 2
     for name in first:
-        made.engines.changed(replace(made.engines.engines[name].entry, zone="y"))
+        made.engines.update_entry(replace(made.engines.engines[name].entry, zone="y"))
     made.engines.evacuated = frozenset({"y"})
     (order,) = load_all(made, 10.0)
     assert order.engine not in first
@@ -173,7 +173,7 @@
     made = steward(2, {"m": 1, "n": 1})
     made.named("m", 2)
     (order,) = orders(made, 0.0)
-    made.engines.changed(replace(made.engines.engines[order.engine].entry, zone="y"))
+    made.engines.update_entry(replace(made.engines.engines[order.engine].entry, zone="y"))
     assert orders(made, 0.1) == []
     made.engines.evacuated = frozenset({"y"})
     (other,) = orders(made, 0.2)
@@ -208,7 +208,7 @@
     for model in ("a", "b"):
         made.step_opened(model, 100.0, samples=16)
     first = load_version(made, 2, 0.0)
-    made.engines.changed(entry(first[0].split("/")[1], {"a": 2, "b": 1}, EngineState.LEAVING))
+    made.engines.update_entry(entry(first[0].split("/")[1], {"a": 2, "b": 1}, EngineState.LEAVING))
     again = load_all(made, 5.0)
     assert [order.model for order in again] == ["a"]
 
--- a/src/pondtiller/routes/__init__.py
+++ b/src/pondtiller/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes of callers to services, and the engines that stand behind the services."""
+"""Routing of callers' requests to services, and the engines of each service."""
--- a/src/pondtiller/routes/cold.py
+++ b/src/pondtiller/routes/cold.py
@@ -1,11 +1,11 @@
-"""Which engines are cold, and what all daemons together may send them. No I/O.
+"""Which engines are cold, and how much all daemons together may send to them. No I/O.
 
-An engine is cold while its entry says so. One that failed here and has not written an entry since
-may have started anew without this daemon's knowing: it is taken for cold until it writes one, or
-as long as a start of its service lasts.
+An engine is cold while its entry in the store says so. An engine that failed here and has not
+written an entry since may have restarted unnoticed: it counts as cold until it writes an entry, or
+for the warm-up time of its service.
 
-Owns what leaders said of engines within the last second. Does not count what is sent:
-`gateway.engines.cold_sends` takes shares for that.
+Holds what leaders reported about engines within the last second. Does not count requests:
+`gateway.engines.cold_sends` requests shares of the rate for that.
 """
 
 from collections.abc import Callable
@@ -15,41 +15,41 @@
 from pondtiller.routes.table import RouteTable, ServiceRow
 
 LEASE_SECONDS = 1.5
-"""Of a share of a cold engine's rate: engines are cold for a few seconds only."""
+"""Lease of a share of a cold engine's rate; engines are cold for a few seconds only."""
 QUIET_SECONDS = RateTerms(0, 0, LEASE_SECONDS).quiet_seconds
-"""How long a new leader grants nothing of a cold engine's rate that is not held already."""
-TOLD_SECONDS = 1.0
-"""How long an engine counts as cold after a leader that knows more said so."""
-MOST_OF_ONE = 0.75
-"""Part of an engine's rate that one daemon may hold: the rest is for others' requests."""
+"""How long a new leader grants only those parts of a cold engine's rate that are already held."""
+COLD_REPORT_SECONDS = 1.0
+"""How long an engine counts as cold after a better informed leader reported it as cold."""
+MAX_DAEMON_SHARE = 0.75
+"""Largest part of an engine's rate that one daemon may hold; the rest is left for others."""
 SUBJECT_PREFIX = "cold/"
 
 
 class ColdBound:
-    """What a cold engine may get, by settings: its rate times `excess`, and `slack` requests."""
+    """Bound on requests to a cold engine, by settings: its rate times `excess`, plus `slack`."""
 
     def __init__(self, excess: float, slack: float) -> None:
         self._excess = excess
         self._slack = slack
 
     def terms(self, row: ServiceRow) -> RateTerms:
-        """Return what may be granted of an engine's rate.
+        """Return how much of an engine's rate may be granted.
 
-        An engine bears its rate, and the bound lies above that: what lies between is the margin
-        for a request that waits between its count and the wire.
+        No more than the rate that the engine can serve is granted. The bound is higher; the
+        difference allows for requests that are delayed between being counted and being sent.
         """
         bound = int(row.cold_rate * self._excess + self._slack)
         total = min(bound, max(1, int(row.cold_rate)))
-        return RateTerms(total, max(1, int(total * MOST_OF_ONE)), LEASE_SECONDS)
+        return RateTerms(total, max(1, int(total * MAX_DAEMON_SHARE)), LEASE_SECONDS)
 
 
 class ColdEngines:
-    """Which engines are cold, as this daemon knows it.
+    """Which engines are cold, as far as this daemon knows.
 
     Parameters
     ----------
     find_table
-        Returns the rows in force.
+        Returns the table in force.
     """
 
     def __init__(
@@ -61,17 +61,17 @@
         self.engines = engines
         self._bound = bound
         self._find_table = find_table
-        self._told_until: dict[str, float] = {}
+        self._reported_until: dict[str, float] = {}
 
     def row(self, engine: Engine) -> ServiceRow | None:
-        """Return the row of an engine's service; None where its engines need no care."""
+        """Return the row of an engine's service; None if its cold engines need no rate limit."""
         table = self._find_table()
         row = table.services.get(engine.entry.service) if table is not None else None
         return row if row is not None and row.cold_rate > 0 else None
 
     def is_cold(self, engine: Engine, now: float) -> bool:
-        """Return whether an engine gets no more than its share of requests now."""
-        if now < engine.cold_until or self._is_told(engine.identifier, now):
+        """Return whether an engine may only get requests within a granted share now."""
+        if now < engine.cold_until or self._is_reported(engine.identifier, now):
             return self.row(engine) is not None
         if engine.failed_at is None:
             return False
@@ -79,36 +79,36 @@
         return row is not None and now < engine.failed_at + row.cold_seconds
 
     def is_cold_name(self, identifier: str, now: float) -> bool:
-        """Return whether an engine, which may not be known here, is cold."""
+        """Return whether an engine is cold that this daemon may not know."""
         engine = self.engines.engines.get(identifier)
         if engine is None:
-            return self._is_told(identifier, now)
+            return self._is_reported(identifier, now)
         return self.is_cold(engine, now)
 
-    def told(self, identifier: str, now: float) -> None:
-        """Take that a leader takes an engine for cold."""
-        self._told_until[identifier] = now + TOLD_SECONDS
+    def note_cold_report(self, identifier: str, now: float) -> None:
+        """Record that a leader reported an engine as cold."""
+        self._reported_until[identifier] = now + COLD_REPORT_SECONDS
 
     def terms(self, identifier: str) -> RateTerms | None:
-        """Return what may be granted of an engine's rate; None where it is not known here."""
+        """Return how much of an engine's rate may be granted; None for an unknown engine."""
         engine = self.engines.engines.get(identifier)
         row = self.row(engine) if engine is not None else None
         return self._bound.terms(row) if row is not None else None
 
-    def cold(self, now: float) -> list[Engine]:
-        """Return the engines that are cold."""
+    def cold_engines(self, now: float) -> list[Engine]:
+        """Return the cold engines."""
         return [each for each in self.engines.engines.values() if self.is_cold(each, now)]
 
-    def keep_house(self, now: float) -> None:
-        """Forget what leaders said of engines some time ago."""
-        for identifier, until in list(self._told_until.items()):
+    def drop_expired(self, now: float) -> None:
+        """Remove expired reports of leaders."""
+        for identifier, until in list(self._reported_until.items()):
             if until <= now:
-                del self._told_until[identifier]
+                del self._reported_until[identifier]
 
-    def _is_told(self, identifier: str, now: float) -> bool:
-        return now < self._told_until.get(identifier, now)
+    def _is_reported(self, identifier: str, now: float) -> bool:
+        return now < self._reported_until.get(identifier, now)
 
 
 def subject_of(identifier: str) -> str:
-    """Return the name of a cold engine's rate among all rates that are held together."""
+    """Return the key of a cold engine's rate among all shared rates."""
     return SUBJECT_PREFIX + identifier
--- a/src/pondtiller/routes/live_attempts.py
+++ b/src/pondtiller/routes/live_attempts.py
@@ -1,13 +1,13 @@
-"""What happens to a live request after each of its attempts. No I/O.
+"""Rules for a live request after each of its attempts. No I/O.
 
-A request is what a caller, or the leader for a scorer, sent; an attempt is one sending of it to one
-engine. These functions say whether a second attempt may run beside the first, whether a request
-may wait for an engine, what an attempt that ended means, and what a request is answered that ran
-out of engines or time.
+A request is what a caller, or the leader on behalf of a scorer, sent; an attempt sends it once to
+one engine. These functions decide whether a second attempt may run beside the first, whether a
+request may wait for an engine, what the outcome of an attempt means, and how a request is answered
+that ran out of engines or time.
 
-Owns no state: `gateway.callers.attempts` keeps it, and `gateway.callers` sends. Which engine is
-next is `engine_choice`; the order of those that wait is `live_queue`; when a refused caller is to
-come back is `retry_after`.
+Stateless: `gateway.callers.attempts` keeps the state, and `gateway.callers` sends. The next engine
+is chosen by `engine_choice`, the order of waiting requests is kept by `live_queue`, and the time
+after which a rejected caller should retry is computed by `retry_after`.
 """
 
 from enum import StrEnum
@@ -15,112 +15,112 @@
 
 from pondtiller.errors import ErrorKind, Ran
 
-OVERDUE_TIMES = 2.0
-"""A request that waits for twice the usual time is taken to be at an engine that is gone."""
-SCORER_TIMES = 6.0
-"""Times within which nearly all answers come: two engines one after the other, and as long again
-for both where they are slow."""
-SHORTEST_SCORER_SECONDS = 0.6
-"""Least time of a scorer's request. Chosen, not measured: `SCORER_TIMES` of the usual time that is
-taken while few answers were seen, 0.1 s."""
-SCORER_ENGINES = 2
-"""Most engines that one scorer's request goes to. Chosen, not measured: the leader asks again with
-another request, so more engines at once only add load where engines fail."""
+OVERDUE_FACTOR = 2.0
+"""An attempt is overdue after this multiple of the usual time: its engine is probably gone."""
+SCORER_TIME_FACTOR = 6.0
+"""Duration of a scorer's request, in multiples of the usual time: two engines one after the other,
+and as long again for both if they are slow."""
+MIN_SCORER_SECONDS = 0.6
+"""Shortest duration of a scorer's request: `SCORER_TIME_FACTOR` times the usual time of 0.1 s that
+is assumed while few answers were seen."""
+MAX_SCORER_ENGINES = 2
+"""Most engines that one scorer's request is sent to. The leader retries with a new request, so more
+engines would only add load where engines fail."""
 
 
 class HedgeInputs(NamedTuple):
-    """What decides whether a second attempt may begin while the first runs.
+    """Inputs of the decision whether a second attempt may start while the first one runs.
 
     Attributes
     ----------
     may_repeat
-        Whether the route allows that the request runs twice.
+        Whether the route allows the request to run twice.
     is_suspect
-        Whether an engine ended under its content.
-    engines_used, most_engines
-        Engines that it was sent to, and that it may be sent to.
+        Whether an engine crashed while it processed the request's content.
+    engines_used, max_engines
+        Engines that it was sent to, and most engines that it may be sent to.
     """
 
     may_repeat: bool
     is_suspect: bool
     engines_used: int
-    most_engines: int
+    max_engines: int
 
 
 def may_hedge(inputs: HedgeInputs) -> bool:
-    """Return whether a second engine may get a request too: not where an engine ended under it."""
+    """Return whether a second engine may get a request too; never if an engine crashed under it."""
     if inputs.is_suspect:
         return False
-    return inputs.may_repeat and inputs.engines_used < inputs.most_engines
+    return inputs.may_repeat and inputs.engines_used < inputs.max_engines
 
 
 def is_overdue(last_began: float, usual_seconds: float, now: float) -> bool:
-    """Return whether the last attempt's engine may be gone, by the steady clock.
+    """Return whether the last attempt's engine may be gone; times are monotonic.
 
-    A hedge of such a request needs no spare engine.
+    An overdue request is hedged even if no engine has free slots.
     """
-    return now >= last_began + OVERDUE_TIMES * usual_seconds
+    return now >= last_began + OVERDUE_FACTOR * usual_seconds
 
 
 class WaitInputs(NamedTuple):
-    """What decides whether a request may wait for an engine.
+    """Inputs of the decision whether a request may wait for an engine.
 
     Attributes
     ----------
     has_engine
-        Whether an engine of its service is usable now.
+        Whether a usable engine of its service exists now.
     may_repeat
-        Whether the route allows that the request runs twice.
+        Whether the route allows the request to run twice.
     was_refused
-        Whether an engine refused it as not run, and did not get it again since.
-    engines_used, most_engines
-        Engines that it was sent to, and that it may be sent to.
+        Whether an engine refused it without running it, and has not got it again since.
+    engines_used, max_engines
+        Engines that it was sent to, and most engines that it may be sent to.
     """
 
     has_engine: bool
     may_repeat: bool
     was_refused: bool
     engines_used: int
-    most_engines: int
+    max_engines: int
 
 
 def may_wait(inputs: WaitInputs) -> bool:
-    """Return whether an engine that is known may get the request later."""
+    """Return whether one of the known engines may get the request later."""
     if not inputs.has_engine:
         return False
     may_go_again = inputs.may_repeat and inputs.was_refused
-    return inputs.engines_used < inputs.most_engines or may_go_again
+    return inputs.engines_used < inputs.max_engines or may_go_again
 
 
 class AttemptEnd(StrEnum):
-    """How an attempt ended."""
+    """Outcome of an attempt."""
 
     HELD_BACK = "held_back"
-    """It did not leave, since the engine may get nothing now."""
+    """It was not sent, since the engine may get no work now."""
     UNREACHABLE = "unreachable"
-    """It did not leave, since no connection came up."""
+    """It was not sent, since no connection could be opened."""
     BROKEN = "broken"
-    """It left, and no whole answer came."""
+    """It was sent, and no complete answer arrived."""
     REFUSED = "refused"
-    """The engine answered that it did not run it."""
+    """The engine answered that it did not run the request."""
     UNSIGNED = "unsigned"
-    """A success without the engine's signature: nobody can tell that it ran."""
+    """A success without the engine's signature: it does not prove that the request ran."""
     FAILED = "failed"
-    """The engine ran it and answered with a status from 500 up."""
+    """The engine ran the request and answered with a status of 500 or above."""
     ANSWERED = "answered"
 
 
 class AnswerFacts(NamedTuple):
-    """What a whole answer says.
+    """Relevant properties of a complete answer.
 
     Attributes
     ----------
     status
-        Of HTTP.
+        HTTP status.
     is_not_run
-        Whether the engine says that it did not run the request.
+        Whether the engine states that it did not run the request.
     is_signed
-        Whether it bears the engine's signature.
+        Whether the answer carries the engine's signature.
     """
 
     status: int
@@ -129,7 +129,7 @@
 
 
 def end_of_answer(answer: AnswerFacts) -> AttemptEnd:
-    """Return how an attempt ended that got a whole answer."""
+    """Return the outcome of an attempt that got a complete answer."""
     if answer.is_not_run:
         return AttemptEnd.REFUSED
     if 200 <= answer.status < 300 and not answer.is_signed:
@@ -138,25 +138,25 @@
 
 
 class NextStep(StrEnum):
-    """What a request does after an attempt."""
+    """What happens to a request after an attempt."""
 
     ANSWER = "answer"
-    """The engine's answer goes back."""
+    """The engine's answer is returned to the caller."""
     OTHER_ENGINE = "other_engine"
-    """Another engine may get it, where one is left."""
+    """Another engine may get the request, if there is one left."""
     GIVE_UP = "give_up"
-    """It fails, with the verdict's error."""
+    """The request fails with the verdict's error."""
 
 
 class Verdict(NamedTuple):
-    """What an attempt that ended means for its request.
+    """What the outcome of an attempt means for its request.
 
     Attributes
     ----------
     reason
-        How the attempt ended.
+        Outcome of the attempt.
     error
-        What the caller is answered; None unless the request is given up.
+        Error returned to the caller; None unless the request is given up.
     """
 
     step: NextStep
@@ -165,12 +165,12 @@
 
 
 def judge(end: AttemptEnd, may_repeat: bool) -> Verdict:
-    """Return what an attempt's end means for a request that is answered whole.
+    """Return what an attempt's outcome means for a request that is answered as a whole.
 
     Parameters
     ----------
     may_repeat
-        Whether the route allows that the request runs twice.
+        Whether the route allows the request to run twice.
     """
     if end is AttemptEnd.ANSWERED:
         return Verdict(NextStep.ANSWER, end)
@@ -184,17 +184,17 @@
 
 
 def judge_stream(end: AttemptEnd, may_resume: bool, is_begun: bool) -> Verdict:
-    """Return what an attempt's end means for a stream.
+    """Return what an attempt's outcome means for a stream.
 
-    A stream differs from a whole answer once the caller has a part of it: an engine's other status
-    cannot go back any more, and the stream goes on elsewhere only where the route lets it resume.
+    Once the caller has received a part of a stream, another engine's status cannot be returned any
+    more, and the stream continues elsewhere only if the route allows it to be resumed.
 
     Parameters
     ----------
     may_resume
-        Whether the route lets another engine go on with the stream.
+        Whether the route allows another engine to continue the stream.
     is_begun
-        Whether the caller has a part of it.
+        Whether the caller has received a part of it.
     """
     if end in (AttemptEnd.HELD_BACK, AttemptEnd.UNREACHABLE, AttemptEnd.REFUSED):
         return Verdict(NextStep.OTHER_ENGINE, end)
@@ -208,29 +208,29 @@
 
 
 def error_without_engines(ran: Ran) -> ErrorKind:
-    """Return what a request is answered that no engine is left for."""
+    """Return the error of a request for which no engine is left."""
     return ErrorKind.NO_ENGINE if ran is Ran.NO else ErrorKind.ENGINE_FAILED
 
 
 def error_without_time(ran: Ran) -> ErrorKind:
-    """Return what a request is answered whose deadline passed."""
+    """Return the error of a request whose deadline has passed."""
     return ErrorKind.EXPIRED_IN_QUEUE if ran is Ran.NO else ErrorKind.DEADLINE_EXCEEDED
 
 
-def error_of_held_content(ran: Ran) -> ErrorKind:
-    """Return what a request is answered whose content no engine may get: engines ended under it."""
+def error_of_quarantined_content(ran: Ran) -> ErrorKind:
+    """Return the error of a request whose content is quarantined since it crashed engines."""
     return ErrorKind.ENDS_ENGINES if ran is Ran.NO else ErrorKind.ENGINE_FAILED
 
 
 class ScorerPlan(NamedTuple):
-    """How long a scorer's request may take, and how many engines it may go to.
+    """Bounds of a scorer's request.
 
     Attributes
     ----------
     seconds
         From its start until its answer is due.
     engines
-        At most, hedges included.
+        Most engines, including hedges.
     """
 
     seconds: float
@@ -243,9 +243,9 @@
     Parameters
     ----------
     usual_seconds
-        Within which nearly all answers of the service come.
+        Time within which nearly all answers of the service arrive.
     row_engines
-        Engines that the scorer's row allows a request.
+        Most engines that the scorer's row allows for a request.
     """
-    seconds = max(SHORTEST_SCORER_SECONDS, SCORER_TIMES * usual_seconds)
-    return ScorerPlan(seconds, min(SCORER_ENGINES, row_engines))
+    seconds = max(MIN_SCORER_SECONDS, SCORER_TIME_FACTOR * usual_seconds)
+    return ScorerPlan(seconds, min(MAX_SCORER_ENGINES, row_engines))
--- a/src/pondtiller/routes/rates.py
+++ b/src/pondtiller/routes/rates.py
@@ -1,7 +1,7 @@
-"""Tenants' rates as gateways hold them together, and what a request above one is answered. No I/O.
+"""Tenants' request rates as shared by all gateways, and rejection of requests above them. No I/O.
 
-Owns no state: `coordination.rate_shares` counts. Does not ask for shares (`peers.share_asker`) nor
-refuse (`gateway.callers.tenant_rates`).
+Stateless: `coordination.rate_shares` counts, `peers.share_asker` requests shares, and
+`gateway.callers.tenant_rates` rejects requests.
 """
 
 import math
@@ -12,15 +12,15 @@
 from pondtiller.routes.retry_after import after_rate
 
 LEASE_SECONDS = 4.0
-"""Of a share of a tenant's rate: longer than most changes of the leader take, so that those who
-have shares go on meanwhile."""
+"""Lease of a share of a tenant's rate. Longer than most changes of the leader take, so that holders
+of shares can continue meanwhile."""
 SUBJECT_PREFIX = "tenant/"
 
 
 def rate_terms(rate_per_second: float, excess: float) -> RateTerms:
-    """Return how a tenant's rate is granted: whole requests in a window of a second.
+    """Return how a tenant's rate is granted: whole requests in a window of one second.
 
-    A rate below one a second is one request in a longer window.
+    A rate below one per second becomes one request in a longer window.
 
     Parameters
     ----------
@@ -32,29 +32,30 @@
         return RateTerms(0, 0, LEASE_SECONDS)
     if most < 1.0:
         return RateTerms(1, 1, LEASE_SECONDS, WINDOW_SECONDS / most)
-    # An excess that comes out as 1.1 times 10 is 11, whatever the binary fraction says.
+        # Absorbs binary rounding: 1.1 times 10 must give 11.
     total = math.floor(most + 1e-9)
     return RateTerms(total, total, LEASE_SECONDS)
 
 
 def subject_of(tenant: str) -> str:
-    """Return the name of a tenant's rate among all rates that are held together."""
+    """Return the key of a tenant's rate among all shared rates."""
     return SUBJECT_PREFIX + tenant
 
 
 class RefusalInputs(NamedTuple):
-    """What is known of a rate as a request above it is refused.
+    """What is known about a rate when a request above it is rejected.
 
     Attributes
     ----------
     is_known
-        Whether a leader has answered since the request came, or this gateway holds a share.
+        Whether a leader has answered since the request arrived, or this gateway holds a share.
     free_at
-        When a place of this gateway's share is free, on the steady clock; infinite without a share.
+        When this gateway's share allows the next request, in monotonic time; infinite without a
+        share.
     window_seconds
-        Of the rate.
+        Window of the rate.
     now
-        The steady clock.
+        Monotonic time.
     """
 
     is_known: bool
@@ -64,14 +65,14 @@
 
 
 class RateRefusal(NamedTuple):
-    """How a request above its tenant's rate is answered; it was not run.
+    """Rejection of a request above its tenant's rate; it was not run.
 
     Attributes
     ----------
     kind
-        Whether the rate is reached, or nobody could say.
+        Whether the rate is reached, or its state is unknown.
     pause_seconds
-        When the caller is to come back.
+        Seconds after which the caller should retry.
     """
 
     kind: ErrorKind
@@ -79,6 +80,6 @@
 
 
 def rate_refusal(inputs: RefusalInputs) -> RateRefusal:
-    """Return how a request is answered that got no place of its tenant's rate."""
+    """Return how to answer a request that exceeds its tenant's rate."""
     kind = ErrorKind.LIMIT_REACHED if inputs.is_known else ErrorKind.NOT_READY
     return RateRefusal(kind, after_rate(inputs.free_at, inputs.window_seconds, inputs.now))
--- a/src/pondtiller/routes/retry_after.py
+++ b/src/pondtiller/routes/retry_after.py
@@ -1,16 +1,16 @@
-"""When a refused caller is to come back: the one rule of `Retry-After`. No I/O.
+"""Seconds after which a rejected caller should retry: all rules of `Retry-After`. No I/O.
 
-| refused because | seconds |
+| reason of the rejection | seconds |
 |---|---|
-| no engine may get it | `after_no_engine`: until the line has drained, or a part of the time left |
-| its tenant's rate | `after_rate`: until a place of this gateway's share is free |
-| its content is held back | until the content may run again (`Quarantine.seconds_left`) |
+| no engine can take it | `after_no_engine`: until the queue has drained, or a part of the time |
+| tenant's rate | `after_rate`: until this gateway's share allows another request |
+| content is quarantined | until the quarantine ends (`Quarantine.seconds_left`) |
 | anything else, not run | `RETRY_AFTER_SECONDS` |
 | it may have run, or would fail again | no header |
 
-Owns no state. `Failure` carries the seconds of the first three; the answer's header is made from it
-by `gateway_retry_after`. Answers that are not the gateway's own front's, and streams that fail
-before they begin, give whole seconds by `ErrorAnswer.retry_after_seconds` alone.
+Stateless. `Failure` carries the seconds of the first three; `gateway_retry_after` formats the
+header of the answer. Answers from elsewhere than the gateway's own front end, and streams that fail
+before they start, use whole seconds from `ErrorAnswer.retry_after_seconds` only.
 """
 
 import math
@@ -18,61 +18,62 @@
 from pondtiller.errors import Failure, Ran
 
 RETRY_AFTER_SECONDS = 0.25
-"""Where the refusal knows no better: gateway not ready or stopping, deadline passed in the line.
-Another gateway usually takes the request then. Chosen, not measured against other values: a caller
-whose request is due in 1 s still has time for two more, and one caller asks a gateway that refuses
-at most 4 times a second. In a burst while the live engines are gone, callers come back after this
-to the same answer (40 of 59 refused, design note 28)."""
+"""Default for rejections without a better estimate: gateway not ready or stopping, or deadline
+passed in the queue. Usually another gateway takes the request then. A caller with 1 s left still
+has time for two retries, and sends at most 4 requests a second to a gateway that rejects them. In a
+burst while the live engines are gone, callers get the same answer again after this time (40 of 59
+rejected)."""
 EXACT_BELOW_SECONDS = 100
 """Below this `Retry-After` has three digits, above it whole seconds: `%g` would write an exponent
 from 1000 on, and a caller that waits so long does not need the part of a second."""
-LATEST_RETURN_SHARE = 1 / 3
-"""Part of the time left after which a return is useful: as long again to wait, and to be served."""
-SHORTEST_RETURN_SECONDS = 0.05
-"""A return within less meets the same queue: engines that refused are passed over for as long."""
-RETURN_SPREAD = 0.5
-"""Returns are spread over this part of the time to come back, so that they are not a new burst."""
-SHORTEST_RATE_PAUSE_SECONDS = 0.05
-"""Least time after which a caller above its tenant's rate may come back."""
+LATEST_RETRY_SHARE = 1 / 3
+"""Part of the remaining time after which a retry is useful; it leaves time to queue and to run."""
+MIN_RETRY_SECONDS = 0.05
+"""Earlier retries would meet the same queue, since refusing engines are skipped for as long."""
+RETRY_SPREAD = 0.5
+"""Retry times are spread over this part, so that the retries do not form another burst."""
+MIN_RATE_RETRY_SECONDS = 0.05
+"""Shortest time after which a caller above its tenant's rate may retry."""
 
 
-def after_no_engine(left: float, drained: float | None, draw: float) -> float:
-    """Return when a caller comes back that no engine had room for, in seconds.
+def after_no_engine(seconds_left: float, drain_seconds: float | None, draw: float) -> float:
+    """Return the seconds until a caller should retry after no engine had a free slot.
 
     Parameters
     ----------
     left
         Seconds until the request's deadline.
     drained
-        Seconds until those that wait have left; None where no pace is known.
+        Seconds until the waiting requests have left; None if no pace is known.
     draw
-        A random number from 0 to 1.
+        Random number from 0 to 1.
     """
-    useful = left * LATEST_RETURN_SHARE
-    seconds = useful if drained is None else min(useful, drained)
-    spread = 1.0 - draw * RETURN_SPREAD
-    return max(SHORTEST_RETURN_SECONDS, seconds * spread)
+    useful = seconds_left * LATEST_RETRY_SHARE
+    seconds = useful if drain_seconds is None else min(useful, drain_seconds)
+    spread = 1.0 - draw * RETRY_SPREAD
+    return max(MIN_RETRY_SECONDS, seconds * spread)
 
 
 def after_rate(free_at: float, window_seconds: float, now: float) -> float:
-    """Return when a caller above its tenant's rate comes back, in seconds.
+    """Return the seconds until a caller above its tenant's rate should retry.
 
     Parameters
     ----------
     free_at
-        When a place of this gateway's share is free, on the steady clock; infinite while it has
-        no share.
+        When this gateway's share allows the next request, in monotonic time; infinite without a
+        share.
     window_seconds
-        Of the rate.
+        Window of the rate.
     """
     pause = free_at - now if free_at < math.inf else window_seconds
-    return max(SHORTEST_RATE_PAUSE_SECONDS, pause)
+    return max(MIN_RATE_RETRY_SECONDS, pause)
 
 
 def gateway_retry_after(failure: Failure) -> str | None:
-    """Return the text of `Retry-After`; None where no such header is sent.
+    """Return the value of `Retry-After`; None if the header is not sent.
 
-    Only what was not run is to come back by itself. Three digits, and never an exponent.
+    Only a request that was not run may be retried without further checks. The value has three
+    digits and never an exponent.
     """
     answer = failure.answer
     if answer.ran is not Ran.NO or answer.retry_after_seconds is None:
--- a/src/pondtiller/routes/send_gate.py
+++ b/src/pondtiller/routes/send_gate.py
@@ -1,11 +1,11 @@
-"""The last look before a request leaves for an engine. No I/O.
+"""Final check before a request is sent to an engine. No I/O.
 
-An engine was chosen some time before: a connection was opened meanwhile, or the request waited.
-Whatever forbids new work to an engine is asked here again, by all that send requests to
-engines: callers' whole requests and streams, hedges, resumed streams, samples, and scorers'
-requests. Health checks and orders do not pass here.
+An engine is chosen some time before the request is sent: a connection is opened in between, or the
+request waits. All conditions that forbid new work for an engine are therefore checked again here,
+for everything that is sent to engines: callers' whole requests and streams, hedges, resumed
+streams, samples and scorers' requests. Health checks and instructions are exempt.
 
-Owns the list of rules, filled once at the start. Does not choose an engine.
+Holds the list of rules, filled once at start-up. Does not choose an engine.
 """
 
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 from pondtiller.routes.engines import Engine, EngineDirectory
 
 
-class Held(StrEnum):
-    """Why a request must not leave for an engine now."""
+class BlockReason(StrEnum):
+    """Reason why a request must not be sent to an engine now."""
 
     LEAVING = "leaving"
     EVACUATED = "evacuated"
@@ -25,24 +25,25 @@
     OLD_TABLE = "old_table"
 
 
-Rule = Callable[[Engine, float], Held | None]
-"""Takes an engine and the steady time; None where the request may leave.
+Rule = Callable[[Engine, float], BlockReason | None]
+"""Takes an engine and the monotonic time; returns None if the request may be sent.
 
-A rule that counts what it lets through is asked last, so that nothing is counted in vain.
+A rule that counts the requests it allows comes last, so that no request is counted that a later
+rule blocks.
 """
 
 
-UnknownRule = Callable[[str, float], Held | None]
-"""As `Rule`, for an engine that is known by its identifier alone."""
+UnknownRule = Callable[[str, float], BlockReason | None]
+"""As `Rule`, for an engine of which only the identifier is known."""
 
 
 class SendGate:
-    """Asks all rules that are in force at this daemon.
+    """Checks all rules that are in force at this daemon.
 
     Attributes
     ----------
     unknown_rule
-        Asked for engines that are not known here; None where they pass.
+        Rule for engines that are not in the directory; None if they are always allowed.
     """
 
     def __init__(self, engines: EngineDirectory) -> None:
@@ -50,11 +51,11 @@
         self.rules: list[Rule] = [self._leaving, self._evacuated]
         self.unknown_rule: UnknownRule | None = None
 
-    def check(self, identifier: str, now: float) -> Held | None:
-        """Return why a request must not leave for an engine, or None where it may leave now.
+    def check(self, identifier: str, now: float) -> BlockReason | None:
+        """Return why a request must not be sent to an engine, or None if it may be sent now.
 
-        An engine that is not known here passes, since its sender knows it from elsewhere; but not
-        while a zone is evacuated, which may be that engine's.
+        An engine that is not in the directory is allowed, since its sender knows it from elsewhere;
+        but not while any zone is evacuated, as the engine may be in that zone.
         """
         engine = self.engines.engines.get(identifier)
         if engine is None:
@@ -65,15 +66,15 @@
                 return held
         return None
 
-    def _check_unknown(self, identifier: str, now: float) -> Held | None:
+    def _check_unknown(self, identifier: str, now: float) -> BlockReason | None:
         if self.engines.has_left(identifier, now):
-            return Held.LEAVING
+            return BlockReason.LEAVING
         if self.engines.awaits_evacuations or self.engines.evacuated:
-            return Held.EVACUATED
+            return BlockReason.EVACUATED
         return self.unknown_rule(identifier, now) if self.unknown_rule is not None else None
 
-    def _leaving(self, engine: Engine, now: float) -> Held | None:
-        return Held.LEAVING if self.engines.has_left(engine.identifier, now) else None
+    def _leaving(self, engine: Engine, now: float) -> BlockReason | None:
+        return BlockReason.LEAVING if self.engines.has_left(engine.identifier, now) else None
 
-    def _evacuated(self, engine: Engine, _now: float) -> Held | None:
-        return Held.EVACUATED if self.engines.is_evacuated(engine) else None
+    def _evacuated(self, engine: Engine, _now: float) -> BlockReason | None:
+        return BlockReason.EVACUATED if self.engines.is_evacuated(engine) else None
--- a/src/pondtiller/routes/sheet_rows.py
+++ b/src/pondtiller/routes/sheet_rows.py
@@ -1,15 +1,15 @@
-"""The rows that route, as rows of the operators' table and back."""
+"""Conversion of routing rows into the operators' table."""
 
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable
 from pondtiller.routes.tenants import TenantRow
 from pondtiller.table.sheet import Row, RowKind, Sheet
 
 HIGHEST_PRIORITY = 9
-"""Of a row in the operators' table, where 9 is the most urgent; a route's rank counts from 0 on."""
+"""Most urgent priority in the operators' table, whose scale is the reverse of a route's rank."""
 
 
 def sheet_of(table: RouteTable) -> Sheet:
-    """Return the operators' table that a route table stands for."""
+    """Return the operators' table that corresponds to a route table."""
     callers = [_caller_row(route) for route in table.routes]
     services = [
         Row(kind=RowKind.SERVICE, name=each.name, model=(each.models or (each.name,))[0])
--- a/src/pondtiller/routes/silent_zones.py
+++ b/src/pondtiller/routes/silent_zones.py
@@ -1,19 +1,21 @@
-"""Zones from which nothing answers: their engines are not tried first. No I/O.
+"""Zones whose engines do not respond; their engines are tried last. No I/O.
 
-Each attempt to connect to an engine that is cut off takes its whole limit, and one caller after
-the other would pay it, an engine each. So engines of one zone that keep silent tell of the others.
+A connection attempt to an unreachable engine takes its whole time limit, and without this module
+every caller would pay it for every engine of the zone. Several unresponsive engines therefore
+count for their whole zone.
 
-Owns what was met in each zone; lost at a restart. Never forbids a zone: `engine_choice` puts it
+Holds the observations per zone, lost at a restart. Never excludes a zone: `engine_choice` puts it
 last.
 """
 
 from dataclasses import dataclass, field
 
-SILENT_ENGINES = 2
-"""Different engines of a zone that kept silent, with none heard between: one may have failed."""
+MIN_SILENT_ENGINES = 2
+"""Distinct unresponsive engines of a zone, without an answer in between, that mark the zone; a
+single engine may have failed by itself."""
 SILENT_SECONDS = 0.8
-"""How long a silent zone's engines come last; then one attempt tells whether it is back. A zone
-that has healed is used again within a second."""
+"""How long a marked zone comes last; after that one attempt tests it. A zone that has recovered is
+used again within a second."""
 
 
 @dataclass
@@ -23,12 +25,12 @@
 
 
 class SilentZones:
-    """What one daemon knows of the zones that it sends to.
+    """Unresponsive zones, as observed by one daemon.
 
     Parameters
     ----------
     own_zone
-        Never taken for silent: there is no nearer one to use in its stead.
+        Zone of this daemon; never marked, since there is no nearer one to use instead.
     """
 
     def __init__(self, own_zone: str) -> None:
@@ -36,29 +38,29 @@
         self._zones: dict[str, _Silence] = {}
 
     def is_silent(self, zone: str, now: float) -> bool:
-        """Return whether engines of a zone are to be tried only where there are no others."""
+        """Return whether a zone's engines should be tried only if there are no others."""
         silence = self._zones.get(zone)
         return silence is not None and now < silence.until
 
     def note_silent(self, zone: str, engine: str, now: float) -> bool:
-        """Take that an engine could not be connected to in time.
+        """Record that a connection to an engine timed out.
 
         Returns
         -------
         bool
-            Whether its zone is now taken for silent, and was not before.
+            Whether its zone became marked by this.
         """
         if zone == self._own_zone:
             return False
         silence = self._zones.setdefault(zone, _Silence())
         silence.engines.add(engine)
-        if len(silence.engines) < SILENT_ENGINES:
+        if len(silence.engines) < MIN_SILENT_ENGINES:
             return False
         was_silent = silence.until > 0.0
         silence.until = now + SILENT_SECONDS
         return not was_silent
 
-    def note_heard(self, zone: str) -> bool:
-        """Take that something of a zone answered; return whether it was taken for silent."""
+    def note_answer(self, zone: str) -> bool:
+        """Record that something in a zone answered; return whether the zone was marked."""
         silence = self._zones.pop(zone, None)
         return silence is not None and silence.until > 0.0
--- a/src/pondtiller/routes/table.py
+++ b/src/pondtiller/routes/table.py
@@ -1,10 +1,8 @@
-"""The rows that route requests: caller rows by host and path, service rows, limits.
+"""Rows that route requests: callers' rows by host and path, services' rows, and limits.
 
-These are the table's rows as an operator's whole configuration gives them. They are values:
-a newer version replaces all of them at once.
-
-Owns no state. Read from the operators' configuration by `platform.configuration`; what is done with
-a row's cells is decided where the request is (`gateway.callers`, `rollouts`).
+These are immutable values from an operator's whole configuration; a newer version replaces all of
+them at once. `platform.configuration` reads them. What a row's cells mean for a request is decided
+where the request is handled (`gateway.callers`, `rollouts`).
 """
 
 import re
@@ -13,15 +11,15 @@
 from typing import NamedTuple
 
 from pondtiller.hashing import score
-from pondtiller.routes.places import common_homes
 from pondtiller.routes.tenants import TenantIndex, TenantRow
+from pondtiller.routes.topology import common_homes
 
-HASH_SPAN = 1 << 64
-"""Numbers that `hashing.score` may give: it returns 64 bits."""
+HASH_RANGE = 1 << 64
+"""Exclusive upper bound of `hashing.score`, which returns 64 bits."""
 
 
 class RequestKind(StrEnum):
-    """What may be done with a request that failed."""
+    """What a failed request of this kind allows."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -31,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """One part of a route's traffic."""
+    """A service's part of a route's traffic."""
 
     service: str
     weight: float
@@ -39,32 +37,32 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRow:
-    """A caller's row: which requests it takes, and the cells that decide about them.
+    """A caller's row: which requests it matches, and how they are handled.
 
     Attributes
     ----------
     host, path_prefix
-        Requests of this host whose path begins with the prefix.
+        It matches requests of this host whose path starts with the prefix.
     shares
         Services with their weights.
     time_limit_seconds
-        Longest time to an answer.
+        Longest time until the answer.
     objective_seconds
-        Time within which an answer counts in full.
+        Latency within which an answer gets full credit.
     attempts
         Most engines that one request may be sent to.
     priority
-        Rank, 0 first.
+        Rank; 0 is the most urgent.
     may_resume
-        Whether a stream may be continued on another engine.
+        Whether another engine may continue a stream.
     single_version
-        Whether a sample must come from one version of the weights.
+        Whether a sample must be made by a single version of the weights.
     step_seconds, queue_seconds
         For steps: when results are due, and when a sample may be given up.
     is_public
-        Whether callers show no key.
+        Whether callers need no key.
     homes
-        Regions that may serve and keep its requests; empty where any may.
+        Regions that may process and store its requests; empty for any.
     """
 
     name: str
@@ -90,11 +88,11 @@
         return self.kind is RequestKind.SAFE or self.kind is RequestKind.STEP or self.may_resume
 
     def choose_service(self, request: str) -> str:
-        """Return the service for a request: the same for the same request, shares by weight."""
+        """Return the service of a request: stable for the same request, distributed by weight."""
         if len(self.shares) == 1:
             return self.shares[0].service
         total = sum(share.weight for share in self.shares)
-        point = score("share", request) / HASH_SPAN * total
+        point = score("share", request) / HASH_RANGE * total
         for share in self.shares:
             point -= share.weight
             if point < 0:
@@ -107,19 +105,18 @@
 
 
 class Scaling(NamedTuple):
-    """How many engines of a service may be ordered, and what they cost.
+    """How many engines of a service may be ordered, and their prices.
 
     Attributes
     ----------
     least, most
-        Engines in each zone, of both kinds together.
+        Number of engines in each zone, on-demand and spot together.
     start_seconds
-        From an order until a new engine serves.
+        Seconds from an order until the new engine serves.
     zone_prices
-        Price of a second of an engine by zone, against each other.
+        Relative price of an engine second by zone.
     spot_price
-        Price of an engine that may be taken away, against one that may not; 0 where there are
-        none.
+        Price of a spot engine relative to an on-demand one; 0 if the service has no spot engines.
     """
 
     least: int
@@ -138,13 +135,13 @@
     most_connections
         Connections that one of its engines accepts from all callers together.
     models
-        Models that its engines hold.
+        Models that its engines serve.
     cold_seconds
-        How long an engine is slow after a start.
+        How long an engine is slow after its start.
     cold_rate
-        Requests a second that a cold engine bears; 0 where it bears as many as a warm one.
+        Requests a second that a cold engine can serve; 0 if as many as a warm one.
     scaling
-        None where no engines are to be ordered.
+        None if no engines may be ordered.
     """
 
     name: str
@@ -158,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a caller may send, and how long it may take."""
+    """Bounds on a caller's requests: sizes and times."""
 
     head_bytes: int = 32_768
     body_bytes: int = 32 * 1024 * 1024
@@ -168,12 +165,12 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """All rows of one version of the configuration.
+    """All rows of one configuration version.
 
     Attributes
     ----------
     tenants
-        Who may call rows that are not public; where there are none, no row needs a key.
+        Tenants that may call rows that are not public; if there are none, no row needs a key.
     """
 
     version: int
@@ -194,11 +191,11 @@
 
     @property
     def named_services(self) -> frozenset[str]:
-        """Return all services that have a row, or that a row of routes may use."""
+        """Return all services that have a row or that a route may use."""
         return frozenset(self.services).union(*(route.services() for route in self.routes))
 
     def find(self, host: str, path: str) -> RouteRow | None:
-        """Return the row with the longest prefix that begins the path."""
+        """Return the row with the longest matching path prefix."""
         rows: list[RouteRow] = getattr(self, "_by_host").get(host_name(host), [])  # noqa: B009
         for row in rows:
             if path.startswith(row.path_prefix):
@@ -206,9 +203,9 @@
         return None
 
     def find_for(self, host: str, path: str, tenant: str) -> RouteRow | None:
-        """Return the row for a tenant's requests; None where there is none that may serve them.
+        """Return the row for a tenant's requests; None if there is none that may serve them.
 
-        The tenant's rank goes before the row's, and the homes of both bind.
+        The tenant's rank takes precedence over the row's, and the homes of both apply.
         """
         row = self.find(host, path)
         owner = self.tenant_index.by_name.get(tenant)
@@ -221,22 +218,22 @@
         return replace(row, priority=priority, homes=homes)
 
     def homes_for(self, route: RouteRow, tenant: str) -> frozenset[str] | None:
-        """Return the regions that may serve and keep a tenant's request on a row.
+        """Return the regions that may process and store a tenant's request on a row.
 
         Returns
         -------
         frozenset of str, or None
-            Empty where any region may; None where the row's and the tenant's have none in common.
+            Empty for any region; None if the row and the tenant have no region in common.
         """
         owner = self.tenant_index.by_name.get(tenant)
         return common_homes(route.homes, owner.homes if owner is not None else frozenset())
 
     def needs_key(self, route: RouteRow) -> bool:
-        """Return whether callers of a row must show a tenant's key."""
+        """Return whether callers of a row must present a tenant's key."""
         return bool(self.tenants) and not route.is_public
 
     def has_public_steps(self, host: str) -> bool:
-        """Return whether steps of a host may be opened, read and ended without a key."""
+        """Return whether a host's steps may be opened, read and ended without a key."""
         rows: list[RouteRow] = getattr(self, "_by_host").get(host_name(host), [])  # noqa: B009
         return not self.tenants or any(
             row.is_public for row in rows if row.kind is RequestKind.STEP
@@ -244,5 +241,5 @@
 
 
 def host_name(host: str) -> str:
-    """Return a `Host` value without its port, in lower case."""
+    """Return the value of a `Host` header without the port, in lower case."""
     return re.sub(r":\d+$", "", host).lower()
--- a/src/pondtiller/routes/tenants.py
+++ b/src/pondtiller/routes/tenants.py
@@ -1,7 +1,7 @@
-"""Tenants as rows of the table, and their keys as digests.
+"""Tenants' rows of the table, with digests of their keys.
 
-A key is turned into its SHA-256 digest where it is read, and only the digest is kept: the key
-itself reaches no engine, log line, metric, file or other daemon.
+A key is replaced by its SHA-256 digest where it is read. The key itself reaches no engine, log
+line, metric, file or other daemon.
 """
 
 import hashlib
@@ -17,13 +17,13 @@
     Attributes
     ----------
     key_digests
-        SHA-256 digests of the keys that callers may show, as hexadecimal text.
+        SHA-256 digests of the accepted keys, in hexadecimal.
     priority
-        Rank of the tenant's requests, 0 first; None where the routes' ranks count.
+        Rank of the tenant's requests, 0 is the most urgent; None if the routes' ranks apply.
     rate_per_second
-        Most requests a second over all daemons together; None where there is no limit.
+        Most requests a second over all daemons together; None for no limit.
     homes
-        Regions that may serve and keep the tenant's requests; empty where any may.
+        Regions that may process and store the tenant's requests; empty for any.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 
 class TenantIndex:
-    """Tenants by name and by the digests of their keys."""
+    """Tenants by name and by key digest."""
 
     def __init__(self, rows: Iterable[TenantRow]) -> None:
         self.by_name = {row.name: row for row in rows}
@@ -43,20 +43,20 @@
         }
 
     def find(self, digest: str) -> TenantRow | None:
-        """Return the tenant that holds a key; the digests are compared in constant time."""
+        """Return the tenant of a key digest, compared in constant time."""
         known, row = self._by_digest.get(digest, ("", None))
         return row if hmac.compare_digest(known, digest) else None
 
 
 def digest_of(key: str) -> str:
-    """Return a key's SHA-256 digest as hexadecimal text."""
+    """Return a key's SHA-256 digest in hexadecimal."""
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def owned_name(tenant: str, name: str) -> str:
-    """Return the name under which a tenant's step or sample is kept.
+    """Return the name under which a tenant's step or sample is stored.
 
-    Two tenants may use the same name: each finds its own only, and neither learns of the other.
-    A name that belongs to no tenant stays as it is.
+    Two tenants may use the same name; neither can find the other's. A name without a tenant stays
+    as it is.
     """
     return f"{quote(tenant, safe='')}@{name}" if tenant else name
--- a/src/pondtiller/routes/tests/sheet_reader.py
+++ b/src/pondtiller/routes/tests/sheet_reader.py
@@ -1,4 +1,4 @@
-"""Reads a sheet back as routes, so that tests see that nothing of a row is lost on the way."""
+"""Converts a sheet back into routes, so that tests can check that no cell of a row is lost."""
 
 from pondtiller.routes.sheet_rows import HIGHEST_PRIORITY
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable, ServiceRow, ServiceShare
@@ -7,7 +7,7 @@
 
 
 def routes_of(sheet: Sheet, version: int) -> RouteTable:
-    """Return the route table that an operators' table stands for."""
+    """Return the route table that an operators' table corresponds to."""
     routes = tuple(_route(row) for row in sheet.rows_of(RowKind.CALLER) if row.host is not None)
     services = {
         row.name: ServiceRow(row.name, models=(row.model or row.name,))
--- a/src/pondtiller/routes/tests/test_answer_times.py
+++ b/src/pondtiller/routes/tests/test_answer_times.py
@@ -1,44 +1,44 @@
-"""When an answer is late, by what was seen."""
+"""The usual time of an answer, computed from observed answers."""
 
 import pytest
 
 from pondtiller.routes.answer_times import (
-    FEWEST_ANSWERS,
-    FIRST_SECONDS,
-    KEPT_ANSWERS,
-    SHORTEST_SECONDS,
+    INITIAL_USUAL_SECONDS,
+    MAX_ANSWERS,
+    MIN_ANSWERS,
+    MIN_USUAL_SECONDS,
     AnswerTimes,
     SmoothedTime,
 )
 
 
-def test_few_answers_tell_nothing() -> None:
+def test_few_answers_use_the_initial_time() -> None:
     times = AnswerTimes()
-    for _ in range(FEWEST_ANSWERS - 1):
+    for _ in range(MIN_ANSWERS - 1):
         times.note(0.5)
-    assert times.usual_seconds == FIRST_SECONDS
+    assert times.usual_seconds == INITIAL_USUAL_SECONDS
     times.note(0.5)
     assert times.usual_seconds == 0.5
 
 
-def test_one_slow_answer_of_many_does_not_count_and_older_ones_are_forgotten() -> None:
+def test_one_slow_answer_does_not_count_and_old_answers_are_dropped() -> None:
     times = AnswerTimes()
-    for number in range(KEPT_ANSWERS):
+    for number in range(MAX_ANSWERS):
         times.note(5.0 if number == 7 else 0.1)
     assert times.usual_seconds == 0.1
-    for _ in range(KEPT_ANSWERS):
+    for _ in range(MAX_ANSWERS):
         times.note(0.3)
     assert times.usual_seconds == 0.3
 
 
-def test_very_quick_answers_make_no_hasty_second_tries() -> None:
+def test_the_usual_time_has_a_lower_bound() -> None:
     times = AnswerTimes()
-    for _ in range(KEPT_ANSWERS):
+    for _ in range(MAX_ANSWERS):
         times.note(0.001)
-    assert times.usual_seconds == SHORTEST_SECONDS
+    assert times.usual_seconds == MIN_USUAL_SECONDS
 
 
-def test_a_smoothed_time_is_forgotten_when_nothing_comes() -> None:
+def test_a_smoothed_time_expires() -> None:
     time = SmoothedTime()
     assert time.seconds(0.0) == 0.0
     time.note(0.4, 1.0)
--- a/src/pondtiller/routes/tests/test_engine_choice.py
+++ b/src/pondtiller/routes/tests/test_engine_choice.py
@@ -1,4 +1,4 @@
-"""Which engine gets a live request."""
+"""Choice of the engine for a live request."""
 
 import random
 from collections.abc import Callable
@@ -8,20 +8,20 @@
 from pondtiller.address import Address
 from pondtiller.routes.engine_choice import (
     CONNECTION_COST,
-    HEDGE_FILL,
+    HEDGE_MAX_FILL,
     JITTER,
-    MOST_SLOWNESS_COST,
-    QUEUE_FILL,
+    MAX_SLOWNESS_COST,
     REGION_COST,
+    SCORER_MAX_FILL,
     ZONE_COST,
     CostInputs,
     EngineChoice,
-    Wanted,
+    EngineConstraints,
     cost,
 )
 from pondtiller.routes.engines import Engine, EngineDirectory, EngineEntry, EngineState
-from pondtiller.routes.live_queue import LOOK_AGAIN_SECONDS
-from pondtiller.routes.places import Distance
+from pondtiller.routes.live_queue import RECHECK_SECONDS
+from pondtiller.routes.topology import Distance
 
 NOW = 100.0
 SLOTS = 4
@@ -37,7 +37,7 @@
 
 
 class OneCold:
-    """Takes one engine for cold."""
+    """Reports a single engine as cold."""
 
     def __init__(self, cold: str) -> None:
         self._cold = cold
@@ -56,7 +56,7 @@
         EngineEntry(f"e{number}", "app", place, "z", SLOTS, EngineState.READY)
         for number in range(count)
     ]
-    engines.replace(entries, 0.0)
+    engines.replace_entries(entries, 0.0)
     return engines
 
 
@@ -69,12 +69,12 @@
 
 
 def wanted(
-    passed_over: frozenset[str] = frozenset(),
+    excluded: frozenset[str] = frozenset(),
     again: frozenset[str] = frozenset(),
     used: int = 0,
     most: int = 2,
-) -> Wanted:
-    return Wanted("app", frozenset(), passed_over, again, used, most)
+) -> EngineConstraints:
+    return EngineConstraints("app", frozenset(), excluded, again, used, most)
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
         (IDLE._replace(distance=Distance.OTHER_REGION), REGION_COST),
         (IDLE._replace(answer_seconds=0.2, usual_seconds=0.1), 0.0),
         (IDLE._replace(answer_seconds=0.25, usual_seconds=0.1), 0.5),
-        (IDLE._replace(answer_seconds=9.0, usual_seconds=0.1), MOST_SLOWNESS_COST),
+        (IDLE._replace(answer_seconds=9.0, usual_seconds=0.1), MAX_SLOWNESS_COST),
         (IDLE._replace(answer_seconds=9.0), 0.0),
     ],
 )
@@ -115,16 +115,16 @@
     assert choice.choose("app", {"e1"}, frozenset(), NOW) is engines.engines["e0"]
 
 
-def test_where_others_are_only_full_none_that_failed_or_is_cold_gets_it() -> None:
+def test_a_failed_or_cold_engine_is_not_used_while_others_are_merely_full() -> None:
     engines = directory(2)
     full, last = engines.engines["e0"], engines.engines["e1"]
     full.note_refusal(NOW)
     full.not_before = NOW
-    assert choice_of(engines, OneCold("e1")).choose_with_room(wanted(), NOW) is None
+    assert choice_of(engines, OneCold("e1")).choose_available(wanted(), NOW) is None
     last.not_before = NOW + 1.0
-    assert choice_of(engines).choose_with_room(wanted(), NOW) is None
+    assert choice_of(engines).choose_available(wanted(), NOW) is None
     last.not_before = NOW
-    assert choice_of(engines).choose_with_room(wanted(), NOW) is last
+    assert choice_of(engines).choose_available(wanted(), NOW) is last
 
 
 def test_engines_that_all_failed_are_probed_one_request_at_a_time() -> None:
@@ -132,36 +132,36 @@
     engine = engines.engines["e0"]
     engine.note_failure(NOW)
     choice = choice_of(engines)
-    assert choice.choose_with_room(wanted(), NOW) is engine
+    assert choice.choose_available(wanted(), NOW) is engine
     choice.note_attempt("app", engine, NOW)
-    assert choice.choose_with_room(wanted(), NOW + LOOK_AGAIN_SECONDS / 2) is None
-    assert choice.choose_with_room(wanted(), NOW + LOOK_AGAIN_SECONDS) is engine
+    assert choice.choose_available(wanted(), NOW + RECHECK_SECONDS / 2) is None
+    assert choice.choose_available(wanted(), NOW + RECHECK_SECONDS) is engine
 
 
-def test_a_request_exceeds_its_engines_only_at_one_that_refused_it() -> None:
+def test_a_request_exceeds_its_engine_count_only_at_an_engine_that_refused_it() -> None:
     engines = directory(2)
     choice = choice_of(engines)
-    assert choice.choose_with_room(wanted(used=1, most=1), NOW) is None
+    assert choice.choose_available(wanted(used=1, most=1), NOW) is None
     again = wanted(again=frozenset({"e1"}), used=1, most=1)
-    assert choice.choose_with_room(again, NOW) is engines.engines["e1"]
-    assert choice.choose_with_room(again._replace(passed_over=frozenset({"e1"})), NOW) is None
+    assert choice.choose_available(again, NOW) is engines.engines["e1"]
+    assert choice.choose_available(again._replace(excluded=frozenset({"e1"})), NOW) is None
 
 
-def test_an_early_hedge_needs_an_engine_with_free_places() -> None:
+def test_an_early_hedge_needs_an_engine_with_free_slots() -> None:
     engines = directory(1)
     engine = engines.engines["e0"]
     choice = choice_of(engines)
-    engine.running = int(SLOTS * HEDGE_FILL) - 1
+    engine.running = int(SLOTS * HEDGE_MAX_FILL) - 1
     assert choice.has_spare(wanted(), NOW)
     engine.running += 1
     assert not choice.has_spare(wanted(), NOW)
 
 
-def test_a_scorer_s_request_needs_an_engine_that_begins_it_soon() -> None:
+def test_a_scorer_s_request_needs_an_engine_that_starts_it_soon() -> None:
     engines = directory(1)
     engine = engines.engines["e0"]
     choice = choice_of(engines)
-    engine.running = int(SLOTS * QUEUE_FILL) - 1
+    engine.running = int(SLOTS * SCORER_MAX_FILL) - 1
     assert choice.has_room("app", frozenset(), NOW)
     engine.running += 1
     assert not choice.has_room("app", frozenset(), NOW)
--- a/src/pondtiller/routes/tests/test_engines.py
+++ b/src/pondtiller/routes/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""What a daemon learns of engines by itself."""
+"""Properties of engines that a daemon observes by itself."""
 
 import random
 from dataclasses import replace
@@ -15,11 +15,11 @@
         EngineEntry(f"e{number}", "app", place, "z", 6, EngineState.READY)
         for number in range(count)
     ]
-    made.replace(entries, 0.0)
+    made.replace_entries(entries, 0.0)
     return made
 
 
-def test_a_slow_engine_is_left_while_others_are_fast_and_tried_again_later() -> None:
+def test_a_slow_engine_is_avoided_while_others_are_fast_and_tried_again_later() -> None:
     engines = directory(3)
     choice = EngineChoice("z", engines, lambda _engine: False, None, random.Random())
 
@@ -31,22 +31,22 @@
         engines.engines[name].note_answer(seconds, 10.0)
     chosen = {chosen_at(10.0) for _ in range(50)}
     assert chosen == {"e1", "e2"}
-    engines.keep_house(14.0)
+    engines.drop_expired(14.0)
     chosen = {chosen_at(14.0) for _ in range(200)}
     assert chosen == {"e0", "e1", "e2"}
 
 
-def test_engines_are_found_by_their_service_through_all_changes() -> None:
+def test_engines_are_found_by_their_service_after_changes() -> None:
     engines = directory(3)
     usable = [each.identifier for each in engines.usable("app", 0.0)]
     assert sorted(usable) == ["e0", "e1", "e2"]
     other = replace(engines.engines["e1"].entry, service="other")
-    engines.changed(other)
-    engines.gone("e2", 0.0)
-    engines.keep_house(5.0)
+    engines.update_entry(other)
+    engines.remove_entry("e2", 0.0)
+    engines.drop_expired(5.0)
     assert [each.identifier for each in engines.usable("app", 5.0)] == ["e0"]
     assert [each.identifier for each in engines.usable("other", 5.0)] == ["e1"]
-    engines.changed(replace(other, state=EngineState.LEAVING))
-    engines.gone("e1", 6.0)
+    engines.update_entry(replace(other, state=EngineState.LEAVING))
+    engines.remove_entry("e1", 6.0)
     assert engines.usable("other", 6.0) == []
     assert set(engines.engines) == {"e0"}
--- a/src/pondtiller/routes/tests/test_homes.py
+++ b/src/pondtiller/routes/tests/test_homes.py
@@ -1,14 +1,14 @@
-"""Home regions of rows and tenants: both bind, and nothing in common means nowhere."""
+"""Home regions of rows and tenants: both apply, and without a common region nothing is routed."""
 
 from dataclasses import replace
 
 from pondtiller.platform.configuration import route_table, without_keys
-from pondtiller.routes.places import Places
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable, ServiceShare
 from pondtiller.routes.tenants import TenantRow
+from pondtiller.routes.topology import Topology
 
 SOUTH, NORTH = frozenset({"south"}), frozenset({"north"})
-PLACES = Places({"a": "south", "b": "north"})
+TOPOLOGY = Topology({"a": "south", "b": "north"})
 ROW = RouteRow("r", "h", "/p/", RequestKind.SAFE, (ServiceShare("app", 1.0),))
 
 
@@ -17,7 +17,7 @@
     return RouteTable(1, (row,), tenants=tenants)
 
 
-def test_the_homes_of_a_row_and_of_its_tenant_both_bind() -> None:
+def test_the_homes_of_a_row_and_of_its_tenant_both_apply() -> None:
     found = table(replace(ROW, homes=SOUTH | NORTH), ann=SOUTH, bob=frozenset())
     assert found.homes_for(found.routes[0], "ann") == SOUTH
     assert found.homes_for(found.routes[0], "bob") == SOUTH | NORTH
@@ -26,17 +26,17 @@
     assert row is not None and row.homes == SOUTH
 
 
-def test_homes_without_a_region_in_common_leave_no_row() -> None:
+def test_no_row_is_found_if_homes_have_no_region_in_common() -> None:
     found = table(replace(ROW, homes=NORTH), ann=SOUTH)
     assert found.homes_for(found.routes[0], "ann") is None
     assert found.find_for("h", "/p/x", "ann") is None
 
 
-def test_homes_cover_all_only_where_no_zone_lies_outside() -> None:
-    assert PLACES.covers_all(frozenset())
-    assert PLACES.covers_all(SOUTH | NORTH)
-    assert not PLACES.covers_all(SOUTH)
-    assert Places({"a": "south"}).covers_all(SOUTH)
+def test_homes_allow_all_zones_only_if_they_contain_every_region() -> None:
+    assert TOPOLOGY.allows_all_zones(frozenset())
+    assert TOPOLOGY.allows_all_zones(SOUTH | NORTH)
+    assert not TOPOLOGY.allows_all_zones(SOUTH)
+    assert Topology({"a": "south"}).allows_all_zones(SOUTH)
 
 
 def test_homes_are_read_from_a_configuration() -> None:
--- a/src/pondtiller/routes/tests/test_quarantine.py
+++ b/src/pondtiller/routes/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Contents under which engines ended: what counts, what is held back, what is forgotten."""
+"""Contents that crash engines: which crashes count, what is quarantined, what expires."""
 
 import math
 
@@ -7,153 +7,153 @@
 from pondtiller.hashing import DIGEST_SHOWN
 from pondtiller.routes.quarantine import (
     ANSWERED_SECONDS,
-    MOST_ANSWERED,
-    MOST_ENDS,
-    MOST_SAMPLE_ENDS,
-    MOST_SUSPECTS,
+    MAX_ANSWERED,
+    MAX_CALLER_CRASHES,
+    MAX_SAMPLE_CRASHES,
+    MAX_SUSPECTS,
     QUARANTINE_SECONDS,
     SAMPLE_PREFIX,
     SHARED_TRIAL_PAUSE_SECONDS,
     TRIAL_PAUSES_SECONDS,
     Quarantine,
     Suspect,
+    abbreviate_content,
     sample_content,
-    shown_content,
 )
 
 WALL = 1_700_000_000.0
 
 
-def end_engines(quarantine: Quarantine, count: int, content: str = "c", now: float = 0.0) -> None:
+def crash_engines(quarantine: Quarantine, count: int, content: str = "c", now: float = 0.0) -> None:
     for number in range(count):
-        quarantine.note_end(content, f"e{number}@1", now, WALL + now)
+        quarantine.note_crash(content, f"e{number}@1", now, WALL + now)
 
 
-def test_a_content_is_held_back_after_the_last_end_that_is_allowed() -> None:
+def test_a_content_is_quarantined_at_the_crash_limit() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS - 1)
-    assert not quarantine.is_held("c", WALL)
-    end_engines(quarantine, MOST_ENDS)
-    assert quarantine.is_held("c", WALL)
+    crash_engines(quarantine, MAX_CALLER_CRASHES - 1)
+    assert not quarantine.is_quarantined("c", WALL)
+    crash_engines(quarantine, MAX_CALLER_CRASHES)
+    assert quarantine.is_quarantined("c", WALL)
     assert quarantine.seconds_left("c", WALL) == QUARANTINE_SECONDS
-    assert not quarantine.is_held("another", WALL)
+    assert not quarantine.is_quarantined("another", WALL)
 
 
-def test_a_sample_bears_more_ends() -> None:
+def test_a_sample_is_allowed_more_crashes() -> None:
     quarantine, sample = Quarantine(), sample_content("s-1")
-    end_engines(quarantine, MOST_ENDS, sample)
-    assert not quarantine.is_held(sample, WALL)
-    end_engines(quarantine, MOST_SAMPLE_ENDS, sample)
-    assert quarantine.is_held(sample, WALL)
+    crash_engines(quarantine, MAX_CALLER_CRASHES, sample)
+    assert not quarantine.is_quarantined(sample, WALL)
+    crash_engines(quarantine, MAX_SAMPLE_CRASHES, sample)
+    assert quarantine.is_quarantined(sample, WALL)
 
 
-def test_one_start_of_an_engine_ends_once() -> None:
+def test_an_incarnation_crashes_once() -> None:
     quarantine = Quarantine()
-    for _ in range(MOST_ENDS):
-        quarantine.note_end("c", "e@1", 0.0, WALL)
-    assert quarantine.ends("c") == 1
+    for _ in range(MAX_CALLER_CRASHES):
+        quarantine.note_crash("c", "e@1", 0.0, WALL)
+    assert quarantine.crash_count("c") == 1
 
 
-def test_an_engine_that_started_again_under_its_name_ends_again() -> None:
+def test_a_restarted_engine_counts_again() -> None:
     quarantine = Quarantine()
-    for start in range(MOST_ENDS):
-        quarantine.note_end("c", f"e@{start}", 0.0, WALL)
-    assert quarantine.is_held("c", WALL)
+    for start in range(MAX_CALLER_CRASHES):
+        quarantine.note_crash("c", f"e@{start}", 0.0, WALL)
+    assert quarantine.is_quarantined("c", WALL)
 
 
-def test_an_answer_forgets_the_ends() -> None:
+def test_an_answer_clears_the_crashes() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS)
+    crash_engines(quarantine, MAX_CALLER_CRASHES)
     assert quarantine.note_answer("c", 1.0)
-    assert not quarantine.is_held("c", WALL)
+    assert not quarantine.is_quarantined("c", WALL)
     assert not quarantine.note_answer("c", 2.0)
 
 
 def test_a_content_that_is_answered_all_the_time_is_not_suspected() -> None:
-    # Three engines end at once under another content; this one was at work at each of them.
+    # Three engines crash at once because of another content; this one was in flight at each.
     quarantine = Quarantine()
     quarantine.note_answer("hot", 10.0)
-    end_engines(quarantine, MOST_ENDS, "hot", now=10.1)
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "hot", now=10.1)
     assert quarantine.suspects == {}
 
 
 def test_a_content_that_was_answered_long_ago_is_suspected() -> None:
-    # A new version of the engines may end under what an older one bore.
+    # A new engine version may crash on a content that an older one served.
     quarantine = Quarantine()
     quarantine.note_answer("c", 0.0)
-    end_engines(quarantine, MOST_ENDS, now=ANSWERED_SECONDS)
-    assert quarantine.is_held("c", WALL)
+    crash_engines(quarantine, MAX_CALLER_CRASHES, now=ANSWERED_SECONDS)
+    assert quarantine.is_quarantined("c", WALL)
 
 
-def test_ends_told_by_others_count_together_with_own_ones() -> None:
+def test_crashes_reported_by_others_count_together_with_own_ones() -> None:
     quarantine = Quarantine()
-    quarantine.note_end("c", "e0@1", 0.0, WALL)
-    assert quarantine.take(Suspect("c", frozenset({"e1@1", "e2@1"}), WALL + 60.0))
-    assert quarantine.is_held("c", WALL)
-    assert not quarantine.take(Suspect("c", frozenset({"e1@1"}), WALL + 60.0))
+    quarantine.note_crash("c", "e0@1", 0.0, WALL)
+    assert quarantine.merge_report(Suspect("c", frozenset({"e1@1", "e2@1"}), WALL + 60.0))
+    assert quarantine.is_quarantined("c", WALL)
+    assert not quarantine.merge_report(Suspect("c", frozenset({"e1@1"}), WALL + 60.0))
 
 
-def test_told_without_ends_a_content_is_let_through() -> None:
+def test_a_report_without_crashes_ends_the_quarantine() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS)
-    assert quarantine.take(Suspect("c", frozenset(), WALL + 60.0))
-    assert not quarantine.is_held("c", WALL)
+    crash_engines(quarantine, MAX_CALLER_CRASHES)
+    assert quarantine.merge_report(Suspect("c", frozenset(), WALL + 60.0))
+    assert not quarantine.is_quarantined("c", WALL)
 
 
-def test_ends_count_for_a_time() -> None:
+def test_crashes_expire() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS)
+    crash_engines(quarantine, MAX_CALLER_CRASHES)
     late = WALL + QUARANTINE_SECONDS
-    assert not quarantine.is_held("c", late)
-    quarantine.note_end("c", "e9@1", 0.0, late)
-    assert quarantine.ends("c") == 1
-    quarantine.keep_house(late + QUARANTINE_SECONDS)
+    assert not quarantine.is_quarantined("c", late)
+    quarantine.note_crash("c", "e9@1", 0.0, late)
+    assert quarantine.crash_count("c") == 1
+    quarantine.drop_expired(late + QUARANTINE_SECONDS)
     assert quarantine.suspects == {}
 
 
-@pytest.mark.parametrize("count", [MOST_SUSPECTS + 10])
+@pytest.mark.parametrize("count", [MAX_SUSPECTS + 10])
 def test_what_is_kept_is_bounded(count: int) -> None:
     quarantine = Quarantine()
     for number in range(count):
-        quarantine.note_end(f"c{number}", "e@1", 0.0, WALL)
-    assert len(quarantine.suspects) == MOST_SUSPECTS
+        quarantine.note_crash(f"c{number}", "e@1", 0.0, WALL)
+    assert len(quarantine.suspects) == MAX_SUSPECTS
     assert "c0" not in quarantine.suspects
-    for number in range(MOST_ANSWERED + 10):
+    for number in range(MAX_ANSWERED + 10):
         quarantine.note_answer(f"a{number}", 0.0)
-    assert len(quarantine._answered) == MOST_ANSWERED
+    assert len(quarantine._answered) == MAX_ANSWERED
 
 
-def test_log_lines_tell_samples_apart_as_they_do_requests() -> None:
+def test_abbreviated_contents_of_samples_differ() -> None:
     first, second = sample_content("s1"), sample_content("s2")
-    assert shown_content(first) != shown_content(second)
-    assert shown_content(first) == first[: len(SAMPLE_PREFIX) + DIGEST_SHOWN]
-    assert shown_content("9c41d07be2a35f68") == "9c41d07b"
+    assert abbreviate_content(first) != abbreviate_content(second)
+    assert abbreviate_content(first) == first[: len(SAMPLE_PREFIX) + DIGEST_SHOWN]
+    assert abbreviate_content("9c41d07be2a35f68") == "9c41d07b"
 
 
-def test_ends_that_another_held_content_shares_are_not_a_contents_own() -> None:
+def test_crashes_shared_with_another_quarantined_content_are_not_own_crashes() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS, "ends engines")
-    end_engines(quarantine, MOST_ENDS, "ran beside it")
-    quarantine.note_end("ends engines", "e2@1", 0.0, WALL)
-    assert quarantine.own_ends("ran beside it") == 0
-    assert quarantine.own_ends("ends engines") == 1
-    assert quarantine.own_ends("unknown") == 0
-    # Its answer leaves the other one alone with its ends.
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "ends engines")
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "ran beside it")
+    quarantine.note_crash("ends engines", "e2@1", 0.0, WALL)
+    assert quarantine.count_own_crashes("ran beside it") == 0
+    assert quarantine.count_own_crashes("ends engines") == 1
+    assert quarantine.count_own_crashes("unknown") == 0
+    # After its answer, the crashes are no longer shared.
     quarantine.note_answer("ran beside it", 1.0)
-    assert quarantine.own_ends("ends engines") == MOST_ENDS + 1
+    assert quarantine.count_own_crashes("ends engines") == MAX_CALLER_CRASHES + 1
 
 
-def test_ends_that_are_shared_with_a_content_that_is_not_held_are_a_contents_own() -> None:
+def test_crashes_shared_with_a_content_that_is_not_quarantined_are_own_crashes() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS)
-    end_engines(quarantine, MOST_ENDS - 1, "another")
-    assert quarantine.own_ends("c") == MOST_ENDS
+    crash_engines(quarantine, MAX_CALLER_CRASHES)
+    crash_engines(quarantine, MAX_CALLER_CRASHES - 1, "another")
+    assert quarantine.count_own_crashes("c") == MAX_CALLER_CRASHES
 
 
-def test_a_trial_is_due_soon_while_ends_are_shared_and_an_engine_is_spare() -> None:
+def test_a_trial_is_due_soon_while_crashes_are_shared_and_an_engine_is_spare() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS, "ends engines")
-    end_engines(quarantine, MOST_ENDS, "ran beside it")
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "ends engines")
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "ran beside it")
     soon, late = WALL + SHARED_TRIAL_PAUSE_SECONDS, WALL + TRIAL_PAUSES_SECONDS[0]
     assert not quarantine.is_trial_due("ran beside it", soon - 0.1, has_spare=True)
     assert quarantine.is_trial_due("ran beside it", soon, has_spare=True)
@@ -161,48 +161,48 @@
     assert quarantine.is_trial_due("ran beside it", late, has_spare=False)
 
 
-def test_contents_that_share_their_ends_are_tried_one_after_the_other() -> None:
+def test_contents_that_share_crashes_are_tried_one_after_the_other() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS, "ends engines")
-    end_engines(quarantine, MOST_ENDS, "ran beside it")
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "ends engines")
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "ran beside it")
     soon = WALL + SHARED_TRIAL_PAUSE_SECONDS
-    quarantine.take(quarantine.suspects["ran beside it"].tried(soon))
+    quarantine.merge_report(quarantine.suspects["ran beside it"].with_trial(soon))
     assert not quarantine.is_trial_due("ends engines", soon, has_spare=True)
-    # It did no harm, so the other one is tried late.
+    # The content was harmless, so the other one is tried late.
     quarantine.note_answer("ran beside it", 1.0)
     assert not quarantine.is_trial_due("ends engines", soon + 10.0, has_spare=True)
     assert quarantine.is_trial_due("ends engines", WALL + TRIAL_PAUSES_SECONDS[0], has_spare=True)
 
 
-def test_a_content_is_tried_soon_after_the_trial_of_another_that_shares_its_ends() -> None:
+def test_a_content_is_tried_soon_after_the_trial_of_another_that_shares_its_crashes() -> None:
     quarantine = Quarantine()
-    end_engines(quarantine, MOST_ENDS, "ends engines")
-    end_engines(quarantine, MOST_ENDS, "ran beside it")
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "ends engines")
+    crash_engines(quarantine, MAX_CALLER_CRASHES, "ran beside it")
     soon = WALL + SHARED_TRIAL_PAUSE_SECONDS
-    quarantine.take(quarantine.suspects["ends engines"].tried(soon))
+    quarantine.merge_report(quarantine.suspects["ends engines"].with_trial(soon))
     due = soon + SHARED_TRIAL_PAUSE_SECONDS
     assert not quarantine.is_trial_due("ran beside it", due - 0.1, has_spare=True)
     assert quarantine.is_trial_due("ran beside it", due, has_spare=True)
 
 
 def trial_times(own_ends: list[int]) -> list[float]:
-    """Return after which pauses trials are due, with so many own ends before each."""
+    """Return the pauses before the trials, with the given number of own crashes at each."""
     suspect = Suspect("c", frozenset({"e0@1", "e1@1"}), WALL + QUARANTINE_SECONDS)
     now, pauses = WALL, []
     for count in own_ends:
         due = suspect.next_trial_at(count, has_spare=True)
         pauses.append(due - now)
         now = due
-        suspect = suspect.tried(now)
+        suspect = suspect.with_trial(now)
     return pauses
 
 
-def test_each_trial_under_which_an_engine_ends_makes_the_next_one_come_later() -> None:
+def test_each_trial_that_crashes_an_engine_delays_the_next_one() -> None:
     first, second, third = TRIAL_PAUSES_SECONDS
     assert trial_times([2, 3, 4, 5]) == [first, second, third, math.inf]
 
 
-def test_trials_that_met_ends_of_other_causes_do_not_make_the_next_one_come_later() -> None:
+def test_trials_that_met_crashes_of_other_causes_do_not_delay_the_next_one() -> None:
     soon = SHARED_TRIAL_PAUSE_SECONDS
     assert trial_times([0, 0, 0, 0]) == [soon, soon, soon, math.inf]
     assert trial_times([0, 1, 2, 3]) == [soon, soon, TRIAL_PAUSES_SECONDS[0], math.inf]
@@ -212,44 +212,46 @@
     suspect = Suspect("c", frozenset({"e0@1", "e1@1"}), WALL + QUARANTINE_SECONDS)
     most = len(TRIAL_PAUSES_SECONDS)
     for _ in range(most + 1):
-        suspect = suspect.tried(WALL).tried_in_vain()
-    assert suspect.next_trial_at(MOST_ENDS, has_spare=True) == WALL + TRIAL_PAUSES_SECONDS[0]
+        suspect = suspect.with_trial(WALL).with_inconclusive_trial()
+    assert (
+        suspect.next_trial_at(MAX_CALLER_CRASHES, has_spare=True) == WALL + TRIAL_PAUSES_SECONDS[0]
+    )
     for _ in range(most):
-        suspect = suspect.tried(WALL)
-    assert suspect.next_trial_at(MOST_ENDS, has_spare=True) == math.inf
-    # One that was told of earlier changes nothing.
-    assert suspect.joined(Suspect("c", suspect.ends, suspect.until)) == suspect
+        suspect = suspect.with_trial(WALL)
+    assert suspect.next_trial_at(MAX_CALLER_CRASHES, has_spare=True) == math.inf
+    # An earlier report changes nothing.
+    assert suspect.merged_with(Suspect("c", suspect.ends, suspect.until)) == suspect
 
 
-def test_more_trials_are_not_given_back_than_were_made() -> None:
+def test_no_more_trials_are_returned_than_were_made() -> None:
     suspect = Suspect("c", frozenset({"e0@1", "e1@1"}), WALL + QUARANTINE_SECONDS)
-    assert suspect.tried_in_vain() == suspect
+    assert suspect.with_inconclusive_trial() == suspect
 
 
 @pytest.mark.parametrize(
     ("other_ends", "other_trials", "broke_off", "is_explained"),
     [
-        # Nobody else was there.
+        # No other content was at the engine.
         (0, 0, False, False),
         (0, 0, True, False),
-        # The trial's request had ended before its engine did.
-        (MOST_ENDS - 1, 0, False, False),
-        (MOST_ENDS, 0, False, True),
-        (MOST_ENDS, 1, False, True),
-        # It broke off with its engine.
-        (MOST_ENDS - 1, 0, True, False),
-        (MOST_ENDS, 0, True, True),
-        (MOST_ENDS, 1, True, False),
+        # The trial's request had finished before its engine crashed.
+        (MAX_CALLER_CRASHES - 1, 0, False, False),
+        (MAX_CALLER_CRASHES, 0, False, True),
+        (MAX_CALLER_CRASHES, 1, False, True),
+        # The trial's request broke off with its engine.
+        (MAX_CALLER_CRASHES - 1, 0, True, False),
+        (MAX_CALLER_CRASHES, 0, True, True),
+        (MAX_CALLER_CRASHES, 1, True, False),
     ],
 )
-def test_which_ends_of_engines_that_got_a_trial_are_explained_by_another_content(
+def test_which_crashes_during_a_trial_are_explained_by_another_content(
     other_ends: int, other_trials: int, broke_off: bool, is_explained: bool
 ) -> None:
     quarantine = Quarantine()
-    quarantine.note_end("c", "e9@1", 0.0, WALL)
-    end_engines(quarantine, other_ends, "another")
+    quarantine.note_crash("c", "e9@1", 0.0, WALL)
+    crash_engines(quarantine, other_ends, "another")
     for _ in range(other_trials):
-        quarantine.take(quarantine.suspects["another"].tried(WALL))
+        quarantine.merge_report(quarantine.suspects["another"].with_trial(WALL))
     if broke_off:
-        quarantine.note_end("c", "e0@1", 0.0, WALL)
-    assert quarantine.is_explained("c", "e0@1") is is_explained
+        quarantine.note_crash("c", "e0@1", 0.0, WALL)
+    assert quarantine.is_crash_explained("c", "e0@1") is is_explained
--- a/src/pondtiller/routes/tests/test_rates.py
+++ b/src/pondtiller/routes/tests/test_rates.py
@@ -21,7 +21,7 @@
     assert rate_terms(0.0, 0.1).total == 0
 
 
-def test_a_refusal_says_whether_the_rate_is_reached_and_when_a_place_is_free():
+def test_a_rejection_says_whether_the_rate_is_reached_and_when_to_retry():
     inputs = RefusalInputs(is_known=True, free_at=10.5, window_seconds=1.0, now=10.0)
     assert rate_refusal(inputs) == (ErrorKind.LIMIT_REACHED, 0.5)
     unknown = inputs._replace(is_known=False, free_at=math.inf)
--- a/src/pondtiller/routes/tests/test_retry_after.py
+++ b/src/pondtiller/routes/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When a refused caller is to come back."""
+"""Seconds after which a rejected caller should retry."""
 
 import math
 
@@ -6,26 +6,26 @@
 
 from pondtiller.errors import ErrorKind, Failure
 from pondtiller.routes.retry_after import (
+    MIN_RATE_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
     RETRY_AFTER_SECONDS,
-    SHORTEST_RATE_PAUSE_SECONDS,
-    SHORTEST_RETURN_SECONDS,
     after_no_engine,
     after_rate,
     gateway_retry_after,
 )
 
 
-def test_a_caller_comes_back_when_the_line_has_drained_or_with_a_third_of_its_time() -> None:
+def test_a_caller_retries_when_the_queue_has_drained_or_with_a_third_of_its_time() -> None:
     assert after_no_engine(0.9, 0.2, 0.0) == pytest.approx(0.2)
     assert after_no_engine(0.9, 5.0, 0.0) == pytest.approx(0.3)
     assert after_no_engine(0.9, None, 0.0) == pytest.approx(0.3)
     assert after_no_engine(0.9, 0.2, 1.0) == pytest.approx(0.1)
-    assert after_no_engine(0.9, 0.0, 0.5) == SHORTEST_RETURN_SECONDS
+    assert after_no_engine(0.9, 0.0, 0.5) == MIN_RETRY_SECONDS
 
 
-def test_a_caller_above_its_rate_comes_back_when_a_place_is_free() -> None:
+def test_a_caller_above_its_rate_retries_when_a_request_is_allowed() -> None:
     assert after_rate(10.4, 1.0, 10.0) == pytest.approx(0.4)
-    assert after_rate(9.0, 1.0, 10.0) == SHORTEST_RATE_PAUSE_SECONDS
+    assert after_rate(9.0, 1.0, 10.0) == MIN_RATE_RETRY_SECONDS
     assert after_rate(math.inf, 1.0, 10.0) == 1.0
 
 
@@ -42,7 +42,7 @@
         (Failure(ErrorKind.OUTCOME_UNKNOWN, retry_after_seconds=1.0), None),
     ],
 )
-def test_the_header_is_sent_only_for_what_was_not_run_and_may_be_served_later(
+def test_the_header_is_sent_only_for_requests_that_were_not_run_and_may_be_served_later(
     failure: Failure, text: str | None
 ) -> None:
     assert gateway_retry_after(failure) == text
--- a/src/pondtiller/routes/tests/test_routes.py
+++ b/src/pondtiller/routes/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Rows by host and path, shares by weight, and engines that come, leave and vanish."""
+"""Rows by host and path, shares by weight, and engines that join, leave and disappear."""
 
 from collections import Counter
 
@@ -42,49 +42,49 @@
 
 def test_leaving_and_gone_engines_get_no_new_work() -> None:
     directory = EngineDirectory()
-    directory.replace([entry("a"), entry("b"), entry("c")], 0.0)
-    directory.changed(entry("b", EngineState.LEAVING))
-    directory.gone("c", 0.0)
+    directory.replace_entries([entry("a"), entry("b"), entry("c")], 0.0)
+    directory.update_entry(entry("b", EngineState.LEAVING))
+    directory.remove_entry("c", 0.0)
     assert names(directory, 0.1) == {"a"}
 
 
-def test_engines_whose_entries_vanish_all_at_once_serve_a_moment_longer() -> None:
+def test_engines_whose_entries_all_disappear_serve_a_moment_longer() -> None:
     directory = EngineDirectory()
-    directory.replace([entry("a"), entry("b")], 0.0)
-    directory.replace([], 10.0)
+    directory.replace_entries([entry("a"), entry("b")], 0.0)
+    directory.replace_entries([], 10.0)
     assert names(directory, 10.5) == {"a", "b"}
     assert names(directory, 11.1) == set()
-    directory.keep_house(11.1)
+    directory.drop_expired(11.1)
     assert directory.engines == {}
-    directory.replace([entry("a")], 12.0)
+    directory.replace_entries([entry("a")], 12.0)
     assert names(directory, 12.0) == {"a"}
 
 
-def test_a_leaving_engine_never_serves_as_a_vanished_one() -> None:
+def test_a_leaving_engine_is_not_kept_as_a_disappeared_one() -> None:
     directory = EngineDirectory()
-    directory.replace([entry("a")], 0.0)
-    directory.changed(entry("a", EngineState.LEAVING))
-    directory.gone("a", 1.0)
+    directory.replace_entries([entry("a")], 0.0)
+    directory.update_entry(entry("a", EngineState.LEAVING))
+    directory.remove_entry("a", 1.0)
     assert names(directory, 1.1) == set()
 
 
-def test_failures_pause_an_engine_longer_each_time_and_paces_grow_old() -> None:
+def test_repeated_failures_lengthen_the_pause_and_paces_expire() -> None:
     directory = EngineDirectory()
-    directory.replace([entry("a")], 0.0)
+    directory.replace_entries([entry("a")], 0.0)
     engine = directory.engines["a"]
     engine.note_failure(0.0)
     first = engine.not_before
     engine.note_failure(0.0)
     assert engine.not_before > first > 0.0
     engine.note_event_gap(0.1, 1.0)
-    directory.keep_house(2.0)
+    directory.drop_expired(2.0)
     assert engine.event_seconds == 0.1
-    directory.keep_house(5.0)
+    directory.drop_expired(5.0)
     assert engine.event_seconds == 0.0
 
 
 def test_a_short_pause_of_all_streams_hardly_changes_an_engines_pace() -> None:
-    """A prompt that is read holds up twelve streams at once: that is one pause, not twelve."""
+    """Reading a prompt delays twelve streams at once, which is one pause and not twelve."""
     busy = Engine(EngineEntry("e", "llm", Address("10.0.0.1", 1), "z", 12, EngineState.READY))
     for number in range(300):
         busy.note_event_gap(0.04, number * 0.003)
@@ -93,7 +93,7 @@
     assert busy.event_seconds < 0.05
 
 
-def test_an_engine_that_turns_slow_is_known_for_it_within_a_second() -> None:
+def test_a_slow_engine_is_detected_within_a_second() -> None:
     for streams in (1, 12):
         engine = Engine(EngineEntry("e", "llm", Address("10.0.0.1", 1), "z", 12, EngineState.READY))
         engine.note_event_gap(0.04, 0.0)
--- a/src/pondtiller/routes/tests/test_send_gate.py
+++ b/src/pondtiller/routes/tests/test_send_gate.py
@@ -1,7 +1,7 @@
 from pondtiller.address import Address
 from pondtiller.routes.engines import EngineDirectory, EngineEntry, EngineState
-from pondtiller.routes.places import Places
-from pondtiller.routes.send_gate import Held, SendGate
+from pondtiller.routes.send_gate import BlockReason, SendGate
+from pondtiller.routes.topology import Topology
 
 
 def entry(name: str, zone: str = "a", state: EngineState = EngineState.READY) -> EngineEntry:
@@ -9,80 +9,80 @@
 
 
 def directory() -> EngineDirectory:
-    engines = EngineDirectory(Places({"a": "south", "b": "south", "c": "north"}))
-    engines.replace([entry("one"), entry("two", "b"), entry("far", "c")], 0.0)
+    engines = EngineDirectory(Topology({"a": "south", "b": "south", "c": "north"}))
+    engines.replace_entries([entry("one"), entry("two", "b"), entry("far", "c")], 0.0)
     return engines
 
 
-def test_an_engine_that_leaves_after_it_was_chosen_gets_nothing():
+def test_an_engine_that_leaves_after_it_was_chosen_gets_no_request():
     engines = directory()
     gate = SendGate(engines)
     assert gate.check("one", 1.0) is None
-    engines.changed(entry("one", state=EngineState.LEAVING))
-    assert gate.check("one", 1.0) is Held.LEAVING
+    engines.update_entry(entry("one", state=EngineState.LEAVING))
+    assert gate.check("one", 1.0) is BlockReason.LEAVING
 
 
-def test_an_evacuated_zone_gets_nothing_until_it_is_taken_back():
+def test_an_evacuated_zone_gets_no_request_until_the_evacuation_ends():
     engines = directory()
     gate = SendGate(engines)
     engines.evacuated = frozenset({"b"})
-    assert gate.check("two", 1.0) is Held.EVACUATED
+    assert gate.check("two", 1.0) is BlockReason.EVACUATED
     assert gate.check("one", 1.0) is None
     assert [each.identifier for each in engines.usable("llm", 1.0)] == ["one", "far"]
     engines.evacuated = frozenset()
     assert gate.check("two", 1.0) is None
 
 
-def test_an_engine_that_is_not_known_here_passes_unless_it_has_left():
+def test_an_unknown_engine_is_allowed_unless_it_has_left():
     engines = directory()
     gate = SendGate(engines)
     assert gate.check("new", 1.0) is None
-    engines.gone("one", 1.0)
-    engines.keep_house(10.0)
-    assert gate.check("one", 10.0) is Held.LEAVING
+    engines.remove_entry("one", 1.0)
+    engines.drop_expired(10.0)
+    assert gate.check("one", 10.0) is BlockReason.LEAVING
 
 
-def test_an_engine_that_is_not_known_here_is_held_back_while_a_zone_is_evacuated():
+def test_an_unknown_engine_is_blocked_while_a_zone_is_evacuated():
     engines = directory()
     gate = SendGate(engines)
     engines.evacuated = frozenset({"nowhere"})
-    assert gate.check("new", 1.0) is Held.EVACUATED
+    assert gate.check("new", 1.0) is BlockReason.EVACUATED
     assert gate.check("one", 1.0) is None
 
 
-def test_before_evacuations_are_known_nothing_leaves():
+def test_nothing_is_sent_before_evacuations_are_known():
     engines = directory()
     gate = SendGate(engines)
     engines.awaits_evacuations = True
-    assert gate.check("one", 1.0) is Held.EVACUATED
-    assert gate.check("new", 1.0) is Held.EVACUATED
+    assert gate.check("one", 1.0) is BlockReason.EVACUATED
+    assert gate.check("new", 1.0) is BlockReason.EVACUATED
     assert engines.usable("llm", 1.0) == []
 
 
-def test_a_rule_that_counts_is_not_asked_where_another_forbids():
+def test_a_counting_rule_is_not_checked_if_another_rule_blocks():
     engines = directory()
     gate = SendGate(engines)
     asked: list[str] = []
 
     def count(engine, _now):
         asked.append(engine.identifier)
-        return Held.COLD
+        return BlockReason.COLD
 
     gate.rules.append(count)
     engines.evacuated = frozenset({"b"})
-    assert gate.check("two", 1.0) is Held.EVACUATED
-    assert gate.check("one", 1.0) is Held.COLD
+    assert gate.check("two", 1.0) is BlockReason.EVACUATED
+    assert gate.check("one", 1.0) is BlockReason.COLD
     assert asked == ["one"]
 
 
-def test_homes_leave_engines_of_their_regions():
+def test_homes_select_engines_in_their_regions():
     engines = directory()
     found = engines.usable("llm", 1.0, frozenset({"north"}))
     assert [each.identifier for each in found] == ["far"]
 
 
-def test_an_engine_that_is_known_by_its_name_alone_is_asked_about_too():
+def test_the_rule_for_unknown_engines_is_checked():
     gate = SendGate(directory())
-    gate.unknown_rule = lambda name, _now: Held.COLD if name == "new" else None
-    assert gate.check("new", 1.0) is Held.COLD
+    gate.unknown_rule = lambda name, _now: BlockReason.COLD if name == "new" else None
+    assert gate.check("new", 1.0) is BlockReason.COLD
     assert gate.check("newer", 1.0) is None
--- a/src/pondtiller/routes/tests/test_sheet_rows.py
+++ b/src/pondtiller/routes/tests/test_sheet_rows.py
@@ -1,4 +1,4 @@
-"""The operators' table and the rows that route stand for each other."""
+"""Conversion between the operators' table and the routing rows."""
 
 from pathlib import Path
 
@@ -48,14 +48,14 @@
 )
 
 
-def test_a_route_table_becomes_a_sheet_and_is_the_same_again() -> None:
+def test_a_route_table_survives_the_conversion_to_a_sheet_and_back() -> None:
     again = routes_of(sheet_of(TABLE), 7)
     assert again.routes == TABLE.routes
     assert again.services == TABLE.services
     assert again.tenants == TABLE.tenants
 
 
-def test_the_sheet_with_routes_goes_through_csv() -> None:
+def test_a_sheet_with_routes_survives_csv() -> None:
     sheet = sheet_of(TABLE)
     read = from_csv(to_csv(sheet))
     assert isinstance(read, Ok)
@@ -63,7 +63,7 @@
     assert routes_of(read.ok_value, 7).tenants == TABLE.tenants
 
 
-def test_routing_cells_are_checked() -> None:
+def test_routing_cells_are_validated() -> None:
     with pytest.raises(ValidationError, match="needs host, path, request and split"):
         Row(kind=RowKind.CALLER, name="x", host="h")
     with pytest.raises(ValidationError, match="only a tenant row has keys"):
@@ -78,7 +78,7 @@
         Row(kind=RowKind.CALLER, name="x", host="h", path="q", request="safe", split="a:1")
 
 
-def test_a_gateway_shows_its_table_filled_with_status(tmp_path: Path) -> None:
+def test_a_gateway_shows_its_table_with_status_columns(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await system.until(lambda: system.gateways[0].is_ready())
         await system.until(lambda: len(system.gateways[0].engines.engines) == 4)
--- a/src/pondtiller/routes/tests/test_silent_zones.py
+++ b/src/pondtiller/routes/tests/test_silent_zones.py
@@ -1,9 +1,9 @@
-"""A zone from which nothing answers comes last, and is used again soon after it heals."""
+"""An unresponsive zone comes last, and is used again soon after it recovers."""
 
 from pondtiller.routes.silent_zones import SILENT_SECONDS, SilentZones
 
 
-def test_two_silent_engines_tell_of_their_zone_and_one_alone_does_not() -> None:
+def test_two_silent_engines_mark_their_zone_and_one_does_not() -> None:
     zones = SilentZones("own")
     assert not zones.note_silent("far", "e1", 10.0)
     assert not zones.note_silent("far", "e1", 10.2)
@@ -13,7 +13,7 @@
     assert not zones.note_silent("far", "e3", 10.5)
 
 
-def test_a_zone_is_tried_again_within_a_second_and_one_more_silence_is_enough() -> None:
+def test_a_zone_is_tried_again_within_a_second_and_one_more_timeout_marks_it() -> None:
     zones = SilentZones("own")
     for engine in ("e1", "e2"):
         zones.note_silent("far", engine, 10.0)
@@ -23,14 +23,14 @@
     assert zones.is_silent("far", 11.6)
 
 
-def test_an_answer_ends_the_silence_and_what_counted_towards_it() -> None:
+def test_an_answer_clears_the_mark_and_the_observations() -> None:
     zones = SilentZones("own")
     zones.note_silent("far", "e1", 10.0)
-    assert not zones.note_heard("far")
+    assert not zones.note_answer("far")
     zones.note_silent("far", "e2", 10.1)
     assert not zones.is_silent("far", 10.2)
     zones.note_silent("far", "e1", 10.2)
-    assert zones.note_heard("far")
+    assert zones.note_answer("far")
     assert not zones.is_silent("far", 10.3)
 
 
--- a/src/pondtiller/steplog/fault_tolerance.py
+++ b/src/pondtiller/steplog/fault_tolerance.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from pondtiller.routes.places import Places
+from pondtiller.routes.topology import Topology
 from pondtiller.steplog.group import write_quorum
 from pondtiller.wire.steplog import GroupMember
 
@@ -39,7 +39,7 @@
     """What a choice of members follows: the losses to be borne, and where zones lie."""
 
     tolerance: Tolerance = Tolerance()
-    places: Places = Places()
+    places: Topology = Topology()
 
 
 USUAL_RULES = PlaceRules()
@@ -91,7 +91,7 @@
     return max(named, key=lambda each: (of_members[each], of_candidates[each]))
 
 
-def lacks_at_home(members: Iterable[GroupMember], size: int, home: str, places: Places) -> int:
+def lacks_at_home(members: Iterable[GroupMember], size: int, home: str, places: Topology) -> int:
     """Return how many members the home region lacks to have a write quorum."""
     if not home:
         return 0
@@ -104,6 +104,6 @@
     return sum(count for _, count in Counter(places).most_common(lost))
 
 
-def _region(zone: str, places: Places) -> str:
+def _region(zone: str, places: Topology) -> str:
     """Return a zone's region; one that the settings do not name is a region of its own."""
     return places.region(zone) or (zone if places.regions else "")
--- a/src/pondtiller/steplog/leader.py
+++ b/src/pondtiller/steplog/leader.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Callable, Collection
 
-from pondtiller.routes.places import Places
+from pondtiller.routes.topology import Topology
 from pondtiller.steplog.deferred import DeferredValues
 from pondtiller.steplog.entry import Entry, unpack_entries
 from pondtiller.steplog.follower import HEARTBEAT, Follower
@@ -167,7 +167,7 @@
             if follower.is_synced and follower.acked >= 0
         ]
 
-    def member_links(self, zone: str, places: Places) -> list[int]:
+    def member_links(self, zone: str, places: Topology) -> list[int]:
         """Return the links of the group's members: the nearest to a zone, the longest connected."""
         names = self._groups.names()
         links = [
--- a/src/pondtiller/steplog/tests/test_fault_tolerance.py
+++ b/src/pondtiller/steplog/tests/test_fault_tolerance.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from pondtiller.routes.places import Places
+from pondtiller.routes.topology import Topology
 from pondtiller.steplog.fault_tolerance import PlaceRules, Tolerance, shortfall
 from pondtiller.steplog.group import write_quorum
 from pondtiller.steplog.group_policy import (
@@ -18,8 +18,8 @@
 
 Members = list[GroupMember]
 
-TWO_OR_A_ZONE = PlaceRules(Tolerance(machines=2, zones=1), Places(dict.fromkeys("abcd", "r")))
-TWO_REGIONS = Places({"s1": "s", "n1": "n", "s2": "s", "n2": "n", "s3": "s", "n3": "n"})
+TWO_OR_A_ZONE = PlaceRules(Tolerance(machines=2, zones=1), Topology(dict.fromkeys("abcd", "r")))
+TWO_REGIONS = Topology({"s1": "s", "n1": "n", "s2": "s", "n2": "n", "s3": "s", "n3": "n"})
 
 
 def replicas(**counts: int) -> Members:
@@ -168,7 +168,7 @@
 
 
 def test_a_region_may_be_lost_where_there_are_three() -> None:
-    places = Places({"x1": "x", "x2": "x", "x3": "x", "y": "y", "z": "z"})
+    places = Topology({"x1": "x", "x2": "x", "x3": "x", "y": "y", "z": "z"})
     rules = PlaceRules(Tolerance(machines=1, regions=1), places)
     up = replicas(x1=2, x2=2, x3=2, y=2, z=2)
     chosen = first_members(tuple(up), 5, rules)
--- a/src/pondtiller/store/mirrored_store.py
+++ b/src/pondtiller/store/mirrored_store.py
@@ -33,7 +33,7 @@
     age_of_answer,
 )
 from pondtiller.process import clock, logs
-from pondtiller.routes.places import Places
+from pondtiller.routes.topology import Topology
 from pondtiller.store.news_times import STORE_SECONDS, mirrored_seconds
 from pondtiller.store.relayed_store import RelayedStore, StoreClient
 from pondtiller.wire.steplog import MirrorPage, ReadMirror
@@ -112,10 +112,10 @@
         store: StoreClient,
         replicas: ReplicaDirectory,
         asks_store: Callable[[], bool],
-        places: Places | None = None,
+        places: Topology | None = None,
         bounds: Mapping[str, float] | None = None,
     ) -> None:
-        self._places = places or Places()
+        self._places = places or Topology()
         self.reader: dict[str, str] = {}
         self.follows_mirrors = False
         self._name = name
--- a/tools/tests/test_check_imports.py
+++ b/tools/tests/test_check_imports.py
@@ -35,7 +35,7 @@
     neighbour = {"pondtiller.usage.meter": {"pondtiller.rollouts.steps"}}
     for refused in (upward, apart, neighbour):
         assert len(CHECK.upward(refused)) == 1
-    assert CHECK.upward({"pondtiller.gateway.runs.run_host": {"pondtiller.routes.places"}}) == []
+    assert CHECK.upward({"pondtiller.gateway.runs.run_host": {"pondtiller.routes.topology"}}) == []
     assert CHECK.upward({"pondtiller.elsewhere": set()}) == [
         "pondtiller.elsewhere: stands in no layer"
     ]
@@ -43,5 +43,5 @@
 
 def test_a_pure_package_may_use_pure_ones_only() -> None:
     assert CHECK.is_impure("pondtiller.process.clock")
-    assert not CHECK.is_impure("pondtiller.routes.places")
+    assert not CHECK.is_impure("pondtiller.routes.topology")
     assert not CHECK.is_impure("sortedcontainers")
