--- a/examples/step_log.py
+++ b/examples/step_log.py
@@ -1,6 +1,6 @@
 """A value outlives its leader: two of three replicas sync it, and the next leader reads it."""
 
-from pondtiller.steplog.instructions import Committed, Send, Won
+from pondtiller.steplog.instructions import Committed, ElectionWon, Send
 from pondtiller.steplog.leader import LeaderLog
 from pondtiller.steplog.replica import Replica
 from pondtiller.wire.steplog import Append, Group, GroupMember, Prepare
@@ -9,12 +9,12 @@
 replicas = [Replica(member, may_form=True, started_at=0.0) for member in members]
 
 
-def carry_out(log: LeaderLog, reachable: set[int], now: float) -> list[Won | Committed]:
+def carry_out(log: LeaderLog, reachable: set[int], now: float) -> list[ElectionWon | Committed]:
     """Deliver messages and answers; a driver would sync each reply's record first."""
-    told: list[Won | Committed] = []
-    while instructions := log.take():
+    told: list[ElectionWon | Committed] = []
+    while instructions := log.pop_instructions():
         for each in instructions:
-            if isinstance(each, Won | Committed):
+            if isinstance(each, ElectionWon | Committed):
                 told.append(each)
             elif isinstance(each, Send) and each.link in reachable:
                 replica, message = replicas[each.link], each.message
@@ -32,8 +32,11 @@
     log = LeaderLog(name, "127.0.0.1", 1, identity)
     for link in reachable:
         log.connected(link, members[link], now)
-    log.stand(replicas[2].promised, Group(generation=1, members=members), now)
-    print(name, [each.entries for each in carry_out(log, reachable, now) if isinstance(each, Won)])
+    log.campaign(replicas[2].promised, Group(generation=1, members=members), now)
+    print(
+        name,
+        [each.entries for each in carry_out(log, reachable, now) if isinstance(each, ElectionWon)],
+    )
     return log
 
 
--- a/src/pondtiller/cli/simulate.py
+++ b/src/pondtiller/cli/simulate.py
@@ -20,7 +20,7 @@
 from pondtiller.serve.simulation.run import RunReport, RunSettings, run_scenario
 from pondtiller.serve.simulation.scenarios import SCENARIOS
 
-MOST_SEEDS = 100_000
+MAX_SEEDS = 100_000
 """Of one call. Chosen, not measured: more is a mistyped range."""
 
 
@@ -99,6 +99,6 @@
     last = last if separator else first
     if not first.isdecimal() or not last.isdecimal():
         return Err(f"{text!r} is not a seed or a range A..B")
-    if int(last) < int(first) or int(last) - int(first) >= MOST_SEEDS:
-        return Err(f"{text!r} is empty or longer than {MOST_SEEDS}")
+    if int(last) < int(first) or int(last) - int(first) >= MAX_SEEDS:
+        return Err(f"{text!r} is empty or longer than {MAX_SEEDS}")
     return Ok(range(int(first), int(last) + 1))
--- a/src/pondtiller/coordination/agreed_clock.py
+++ b/src/pondtiller/coordination/agreed_clock.py
@@ -9,7 +9,7 @@
 from statistics import median
 from typing import NamedTuple
 
-FEWEST_MACHINES = 3
+MIN_MACHINES = 3
 """Fewer do not overrule a time that is known: most of them may have jumped."""
 SETTLE_SECONDS = 2.0
 """So long after the first machine was heard nearly all have been: daemons tell a new leader within
@@ -80,7 +80,7 @@
 
     def _take_median(self, now: float) -> None:
         offsets = self._offsets(now)
-        is_enough = len(offsets) >= FEWEST_MACHINES or self._learned is None
+        is_enough = len(offsets) >= MIN_MACHINES or self._learned is None
         if offsets and is_enough:
             self._learned = median(offsets)
             self._median_until = now + MEDIAN_SECONDS
--- a/src/pondtiller/coordination/fair_queue.py
+++ b/src/pondtiller/coordination/fair_queue.py
@@ -8,7 +8,7 @@
 
 Item = TypeVar("Item")
 
-SMALLEST_WEIGHT = 1e-3
+MIN_WEIGHT = 1e-3
 """Least weight that a row counts with: keeps a weight of 0 from a division. Chosen, not measured:
 such a row gets a thousandth of what a row of weight 1 gets."""
 
@@ -56,7 +56,7 @@
         item = self._queues[row].popleft()
         start = self._finish[row]
         self._virtual_time = max(self._virtual_time, start)
-        self._finish[row] = start + cost / max(weight, SMALLEST_WEIGHT)
+        self._finish[row] = start + cost / max(weight, MIN_WEIGHT)
         if not self._queues[row]:
             del self._queues[row]
         return item
--- a/src/pondtiller/coordination/registers/proposer.py
+++ b/src/pondtiller/coordination/registers/proposer.py
@@ -24,7 +24,7 @@
 """Until a phase that too few replicas answered is sent again the first time, in seconds; each
 further wait is twice as long. Chosen, not measured: three times the 80 ms that an answer between
 regions takes at least."""
-LONGEST_RESEND_SECONDS = 1.0
+MAX_RESEND_SECONDS = 1.0
 """Longest of these waits, in seconds. Chosen, not measured: operations on a shard that cannot
 answer send one message a second and replica, not a storm."""
 KEPT_BALLOTS = 4096
@@ -219,7 +219,7 @@
         operation.phase = _Phase.ACCEPT
 
     def _send_phase(self, operation: _Operation, now: float) -> None:
-        wait = min(LONGEST_RESEND_SECONDS, FIRST_RESEND_SECONDS * 2**operation.sends)
+        wait = min(MAX_RESEND_SECONDS, FIRST_RESEND_SECONDS * 2**operation.sends)
         operation.sends += 1
         self._deadlines.set(("resend", operation.number), now + wait)
         configuration = operation.configuration
--- a/src/pondtiller/coordination/shares.py
+++ b/src/pondtiller/coordination/shares.py
@@ -20,7 +20,7 @@
 ROUND_SECONDS = 1.0
 """Between two demands of a holder, in seconds. Chosen, not measured; in large groups `pace`
 stretches it, since an allocator's work follows demands a second."""
-LONGEST_PACE = 10.0
+MAX_PACE = 10.0
 """Most that rounds and leases are stretched. Chosen, not measured: reached at 400 members. A book
 of another allocator does not name its leases, so it is honoured for this many times
 `LEASE_SECONDS`."""
@@ -36,7 +36,7 @@
     An allocator's work follows the demands a second. In a large group each holder asks
     less often, so that one row does not take more than a few percent of one core.
     """
-    return min(LONGEST_PACE, max(1.0, members / MEMBERS_AT_FULL_PACE))
+    return min(MAX_PACE, max(1.0, members / MEMBERS_AT_FULL_PACE))
 
 
 @dataclass(slots=True)
@@ -227,7 +227,7 @@
         reserved = self._reserved.get(holder)
         held = max(amount, reserved.amount if reserved is not None else 0)
         if held:
-            lease = demand.lease_seconds if demand is not None else LEASE_SECONDS * LONGEST_PACE
+            lease = demand.lease_seconds if demand is not None else LEASE_SECONDS * MAX_PACE
             self._reserved[holder] = _Reservation(held, self._reserve_until(now, lease))
         message = wire.ShareGrant(row=self.row, request=request, granted=amount)
         return Grant(holder, message)
@@ -240,7 +240,7 @@
             amount = max(share.granted, reserved.amount if reserved is not None else 0)
             if amount:
                 # The book does not say how long the lease is; the longest is safe.
-                until = self._reserve_until(now, LEASE_SECONDS * LONGEST_PACE)
+                until = self._reserve_until(now, LEASE_SECONDS * MAX_PACE)
                 self._reserved[holder] = _Reservation(amount, until)
 
     def _reserve_until(self, now: float, lease_seconds: float) -> float:
--- a/src/pondtiller/coordination/tests/test_shares.py
+++ b/src/pondtiller/coordination/tests/test_shares.py
@@ -5,7 +5,7 @@
 
 from pondtiller.coordination.shares import (
     LEASE_SECONDS,
-    LONGEST_PACE,
+    MAX_PACE,
     MEMBERS_AT_FULL_PACE,
     Allocator,
     HeldShare,
@@ -121,7 +121,7 @@
 def test_large_groups_ask_less_often_and_small_ones_as_before():
     assert pace(6) == pace(MEMBERS_AT_FULL_PACE) == 1.0
     assert pace(340) == 8.5
-    assert pace(100_000) == LONGEST_PACE
+    assert pace(100_000) == MAX_PACE
 
 
 def test_share_is_reserved_for_as_long_as_its_holder_may_use_it():
--- a/src/pondtiller/gateway/__init__.py
+++ b/src/pondtiller/gateway/__init__.py
@@ -1,12 +1,12 @@
-"""The gateway program on the users' platform: callers, trainers, and one of them leading.
+"""The gateway program on the users' platform: serves callers and trainers; one of them leads.
 
-| package | what it does |
+| package | task |
 |---|---|
 | `callers` | answers callers and trainers |
-| `engines` | engines as this gateway reaches them |
-| `runs` | runs of samples that it holds for a leader |
-| `leader` | standing, and what a leader does in its term |
-| `pages` | readiness, figures, the table with status |
+| `engines` | connections to engines and their state |
+| `runs` | runs of samples that it executes for a leader |
+| `leader` | election, and the work of a leader in its term |
+| `pages` | readiness, metrics, the table with status columns |
 
-`parts` makes and joins them, `process` runs them. A gateway keeps nothing on a disk.
+`parts` creates and connects them, `process` runs them. A gateway stores nothing on disk.
 """
--- a/src/pondtiller/gateway/callers/attempts.py
+++ b/src/pondtiller/gateway/callers/attempts.py
@@ -1,7 +1,7 @@
-"""The attempts of one request: engines, how attempts ended, and whether one may have run it.
+"""Attempts of one request: their engines, their outcomes, and whether one may have run it.
 
-Owns the counts of one request, no longer than the request lasts. What an ended attempt means is
-decided in `routes.live_attempts`; nothing is sent here.
+Holds the state of one request while it is in progress. What an outcome means is decided in
+`routes.live_attempts`; nothing is sent here.
 """
 
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """An engine's answer, read to its end."""
+    """An engine's complete answer."""
 
     engine: str
     status: int
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedAttempt:
-    """An attempt that ended.
+    """An attempt that has ended.
 
     Attributes
     ----------
     answer
-        None where none came, or not whole.
+        None if there is no complete answer.
     detail
-        For the log line, where there is no answer.
+        Text for the log line if there is no answer.
     seconds
-        How long the answer took.
+        Duration of the answer.
     """
 
     engine: Engine
@@ -49,48 +49,48 @@
 
 @dataclass
 class RequestAttempts:
-    """What was attempted for one request.
+    """State of one request's attempts.
 
     Attributes
     ----------
     engines
-        Those that it was sent to, or is to be sent to.
+        Engines that it was sent to or is about to be sent to.
     held_back
-        Those that it did not leave for, since they may get nothing now; not counted.
+        Engines that it was not sent to, since they may get no work now; not counted.
     refused
-        Those that refused it as not run, by their last answer.
-    again
-        Those among them that refused it as not run some time ago: it may be sent there again.
+        Engines whose last answer was that they did not run it.
+    resendable
+        Engines among them whose refusal is some time ago: it may be sent there again.
     unreached
-        Those to which it did not leave, since no connection came up; not counted.
+        Engines that it was not sent to, since no connection could be opened; not counted.
     running
-        Attempts that have not ended.
+        Number of attempts in progress.
     sent
-        Attempts that left, less those that an engine refused as not run.
-    left_when_sent
-        Seconds until the deadline as each attempt left that has not ended, by engine.
+        Attempts that were sent, minus those that an engine refused without running them.
+    seconds_left_when_sent
+        Seconds until the deadline when each attempt in progress was sent, by engine.
     last_began
-        When the last attempt began, on the steady clock.
+        When the last attempt started, in monotonic time.
     stalled_before
-        For how many seconds this process had stood still by then.
+        Total pauses of this process up to then, in seconds.
     reserved
-        Engines that count an attempt whose task has not begun.
+        Engines whose slots are reserved for attempts that have not started.
     ticket
-        Its place among those that wait, once it had to.
+        Its position in the queue, once it had to wait.
     last_failure
-        The last answer with a status from 500 up, which goes back where no engine is left.
+        Last answer with a status of 500 or above; returned if no engine is left.
     details
-        A word for each thing that happened, for the log line.
+        Short texts about each event, for the log line.
     """
 
     engines: set[str] = field(default_factory=set)
     held_back: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
-    again: set[str] = field(default_factory=set)
+    resendable: set[str] = field(default_factory=set)
     unreached: set[str] = field(default_factory=set)
     running: int = 0
     sent: int = 0
-    left_when_sent: dict[str, float] = field(default_factory=dict)
+    seconds_left_when_sent: dict[str, float] = field(default_factory=dict)
     last_began: float = 0.0
     stalled_before: float = 0.0
     reserved: list[Engine] = field(default_factory=list)
@@ -100,27 +100,27 @@
 
     @property
     def excluded(self) -> frozenset[str]:
-        """Engines that are not to be chosen again."""
-        return frozenset((self.engines - self.again) | self.held_back | self.unreached)
+        """Engines that must not be chosen again."""
+        return frozenset((self.engines - self.resendable) | self.held_back | self.unreached)
 
     @property
     def ran(self) -> Ran:
-        """Whether an engine may have begun to work on it: sent, and not refused as not run."""
+        """Whether an engine may have run it: sent, and not refused as not run."""
         return Ran.UNKNOWN if self.sent else Ran.NO
 
-    def wanted(self, service: str, route: RouteRow) -> EngineConstraints:
-        """Return what the request may still be sent to."""
+    def constraints(self, service: str, route: RouteRow) -> EngineConstraints:
+        """Return the constraints on where the request may still be sent."""
         return EngineConstraints(
             service=service,
             homes=route.homes,
             excluded=self.excluded,
-            resendable=frozenset(self.again),
+            resendable=frozenset(self.resendable),
             engines_used=len(self.engines),
             max_engines=route.attempts,
         )
 
     def hedge_inputs(self, route: RouteRow, is_suspect: bool) -> HedgeInputs:
-        """Return what decides whether a second attempt may run beside the first."""
+        """Return the inputs of the decision whether a second attempt may run beside the first."""
         return HedgeInputs(
             may_repeat=route.may_repeat,
             is_suspect=is_suspect,
@@ -129,58 +129,58 @@
         )
 
     def wait_inputs(self, route: RouteRow, has_engine: bool) -> WaitInputs:
-        """Return what decides whether the request may wait for an engine."""
+        """Return the inputs of the decision whether the request may wait for an engine."""
         return WaitInputs(
             has_engine=has_engine,
             may_repeat=route.may_repeat,
-            was_refused=bool(self.refused | self.again),
+            was_refused=bool(self.refused | self.resendable),
             engines_used=len(self.engines),
             max_engines=route.attempts,
         )
 
     def reserve(self, engine: Engine) -> None:
-        """Take a place at an engine for an attempt that is about to begin."""
+        """Reserve a slot of an engine for an attempt that is about to start."""
         engine.running += 1
         self.reserved.append(engine)
 
     def leave_reserved(self) -> None:
-        """Free the places of attempts that never began, since the caller left."""
+        """Release the slots of attempts that never started, since the caller left."""
         for engine in self.reserved:
             engine.end_work()
         self.reserved.clear()
 
     def begin(self, engine: str, now: float) -> None:
-        """Take that an attempt at an engine begins."""
+        """Record the start of an attempt at an engine."""
         if self.engines:
             self.details.append("next")
         self.engines.add(engine)
         self.refused.discard(engine)
-        self.again.discard(engine)
+        self.resendable.discard(engine)
         self.running += 1
         self.last_began = now
 
-    def look_again(self, may_repeat: bool) -> None:
-        """Let engines be chosen again that had no room, or could not be reached.
+    def allow_again(self, may_repeat: bool) -> None:
+        """Allow engines again that had no free slot or could not be reached.
 
-        What must not run twice goes to no engine a second time, also after a refusal.
+        A request that must not run twice is sent to no engine again, not even after a refusal.
         """
         if may_repeat:
-            self.again |= self.refused
+            self.resendable |= self.refused
         self.held_back.clear()
         self.unreached.clear()
 
     def unreachable(self, engine: Engine) -> None:
-        """Take that no connection came up: nothing left, so the engine is not counted."""
+        """Record that no connection could be opened: nothing was sent, so it is not counted."""
         self.engines.discard(engine.identifier)
         self.unreached.add(engine.identifier)
 
     def note_unanswered(self) -> None:
-        """Name for the log the attempts that were under way as the deadline passed."""
-        for engine, left in self.left_when_sent.items():
+        """Add the attempts in progress at the deadline to the log details."""
+        for engine, left in self.seconds_left_when_sent.items():
             self.details.append(f"{engine}:unanswered(left={left:.3f})")
 
-    def hold_back(self, engine: Engine, reason: BlockReason) -> None:
-        """Take that a request did not leave for an engine that was chosen."""
+    def note_blocked(self, engine: Engine, reason: BlockReason) -> None:
+        """Record that a request was not sent to the engine that was chosen."""
         self.engines.discard(engine.identifier)
         self.held_back.add(engine.identifier)
         self.details.append(f"{engine.identifier}:held({reason.value})")
--- a/src/pondtiller/gateway/callers/content_trials.py
+++ b/src/pondtiller/gateway/callers/content_trials.py
@@ -1,11 +1,11 @@
-"""Trials of held contents: which request is one, and what its end tells of the content.
+"""Trials of quarantined contents: which request is a trial, and what its outcome means.
 
-A request of a content that is held back goes to one engine from time to time, since only an
-engine's answer clears the content. A trial that is not answered may have ended its engine, or may
-tell nothing: it never left, or the engine lived on.
+From time to time a request of a quarantined content is sent to one engine, since only an engine's
+answer can end the quarantine. A trial without an answer may have crashed its engine, or it may be
+inconclusive: it was never sent, or the engine survived.
 
-Owns the trials whose outcome is not known yet. How many trials a content had is kept in the store
-(`engines.suspect_sharing`), and when the next one is due is decided in `routes.quarantine`.
+Holds the trials whose outcome is not known yet. The number of trials of a content is kept in the
+store (`engines.suspect_sharing`); when the next one is due is decided in `routes.quarantine`.
 """
 
 from enum import StrEnum
@@ -22,32 +22,33 @@
 from pondtiller.routes.quarantine import abbreviate_content
 
 SETTLE_SECONDS = 1.0
-"""From the end of a trial without an answer until its outcome is told. An engine may end some time
-after a deadline, and other gateways tell a first end after 0.3 s."""
+"""Time from the end of an unanswered trial until its outcome is decided. An engine may crash some
+time after a deadline, and other gateways report a first crash after 0.3 s."""
 
 
 class TrialOutcome(StrEnum):
-    """What a trial tells of its content."""
+    """Outcome of a trial for its content."""
 
     ANSWERED = "answered"
-    """The content did no harm."""
+    """The content is harmless."""
     ENGINE_ENDED = "engine_ended"
-    """Its engine ended, or cannot be shown to run still."""
+    """Its engine crashed, or cannot be shown to be still running."""
     INCONCLUSIVE = "inconclusive"
-    """No engine ran it; or its engine runs on without an answer, or ended under another content."""
+    """No engine ran it; or its engine survived without an answer, or crashed because of another
+    content."""
 
 
 class ContentTrials:
-    """Lets single requests of held contents through, and follows what became of them.
+    """Allows single requests of quarantined contents, and evaluates their outcome.
 
     Parameters
     ----------
     engines
-        Engines of each service, to tell whether one is left if a trial ends another.
+        Engines of each service, to tell whether one is left if a trial crashes another.
     ends
-        Asked whether a trial's engine still runs.
+        Tells whether a trial's engine is still running.
     suspects
-        Contents that are held back.
+        Contents that are quarantined.
     """
 
     def __init__(
@@ -60,40 +61,42 @@
         self._settling = Spawner()
 
     @property
-    def unsettled(self) -> int:
-        """Trials whose outcome is not known yet."""
+    def unsettled_trials(self) -> int:
+        """Number of trials whose outcome is not known yet."""
         return len(self._running) + len(self._settling)
 
-    async def take(self, request: ForwardedRequest, service: str, homes: frozenset[str]) -> bool:
+    async def try_start(
+        self, request: ForwardedRequest, service: str, homes: frozenset[str]
+    ) -> bool:
         """Return whether a request is its content's trial, which is then counted.
 
         Parameters
         ----------
         service, homes
-            Whose engines may get the request, and in which regions.
+            Service whose engines may get the request, and the regions they may be in.
         """
         content = request.content
-        if not self._suspects.is_held(content):
+        if not self._suspects.is_quarantined(content):
             return False
         has_spare = partial(self._has_spare, content, service, homes)
         return await self._suspects.take_trial(content, has_spare)
 
     def _has_spare(self, content: str, service: str, homes: frozenset[str]) -> bool:
-        """Return whether a service has two usable engines, so that one outlasts a trial.
+        """Return whether a service has two usable engines, so that one is left after a trial.
 
-        Entries of engines that ended stay listed for some heartbeats: those are left out.
+        Entries of crashed engines stay listed for some heartbeats; those engines are excluded.
         """
         usable = self._engines.usable(service, clock.monotonic(), homes)
-        ended = self._suspects.known_ends(content)
+        ended = self._suspects.crashed_engines(content)
         return len([each for each in usable if each.identifier not in ended]) > 1
 
     def begin(self, whole: WholeRequest) -> None:
-        """Take that a request begins, which may be a trial."""
+        """Register a request that starts and may be a trial."""
         if whole.is_trial:
             self._running.add(whole.request.identifier)
 
     async def follow(self, whole: WholeRequest) -> None:
-        """Follow a trial whose request has ended: one that told nothing is given back."""
+        """Evaluate a trial whose request has ended; an inconclusive one is not counted."""
         if not whole.is_trial:
             return
         if self._suspects.is_suspect(whole.request.content):
@@ -108,17 +111,17 @@
             outcome = await self._outcome(whole.request.content, whole.attempts.engines)
         self._log(whole, outcome)
         if outcome is TrialOutcome.INCONCLUSIVE:
-            await self._suspects.give_trial_back(whole.request.content)
+            await self._suspects.return_trial(whole.request.content)
 
     async def _outcome(self, content: str, engines: set[str]) -> TrialOutcome:
-        """Return what a trial without an answer told, by the engines that got it."""
+        """Return the outcome of an unanswered trial, from the engines that received it."""
         settled_at = clock.monotonic() + SETTLE_SECONDS
         ended = set()
         for engine in engines:
-            is_known = engine in self._suspects.known_ends(content)
-            if is_known or not await self._ends.outlasts(engine, settled_at):
+            is_known = engine in self._suspects.crashed_engines(content)
+            if is_known or not await self._ends.still_runs_at(engine, settled_at):
                 ended.add(engine)
-        # Others may tell until then under which of their requests it ended.
+        # Until then other gateways may report which of their requests the engine crashed under.
         await curio.sleep(max(0.0, settled_at - clock.monotonic()))
         quarantine = self._suspects.quarantine
         if all(quarantine.is_crash_explained(content, each) for each in ended):
--- a/src/pondtiller/gateway/callers/forward.py
+++ b/src/pondtiller/gateway/callers/forward.py
@@ -1,11 +1,12 @@
-"""Sends requests that are answered whole to engines, for callers and for the leader's scorers.
+"""Sends requests with whole answers to engines, for callers and for the leader's scorers.
 
-Owns the requests on their way, the lines of those that wait, and what this gateway learned of its
-services; all of it is lost at a restart. I/O and the order of steps stand here; the rules are in
-`routes.engine_choice`, `routes.live_attempts`, `routes.live_queue` and `routes.retry_after`.
+Holds the requests in progress, the queues of waiting requests, and the observed answer times of
+services; all of it is lost at a restart. This module does the I/O and sequences the steps; the
+rules are in `routes.engine_choice`, `routes.live_attempts`, `routes.live_queue` and
+`routes.retry_after`.
 
-Relies on `EngineSender` for how an attempt leaves, and on `SuspectContents` for contents that no
-engine may get. Does not look at keys, rates or homes (`front`), and passes no streams (`streams`).
+Relies on `EngineSender` to send an attempt, and on `SuspectContents` for quarantined contents. Does
+not check keys, rates or homes (`front`), and does not handle streams (`streams`).
 """
 
 import random
@@ -18,10 +19,10 @@
 from pondtiller.gateway.callers.content_trials import ContentTrials
 from pondtiller.gateway.callers.request import ForwardedRequest, WholeRequest
 from pondtiller.gateway.callers.sending import EngineSender
-from pondtiller.gateway.callers.waiting import WaitingLine, WaitingLines
+from pondtiller.gateway.callers.waiting import WaitingQueue, WaitingQueues
 from pondtiller.gateway.engines.cold_sends import ColdSends
 from pondtiller.gateway.engines.engine_ends import EngineEnds
-from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, HeldBackError
+from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, SendBlockedError
 from pondtiller.gateway.engines.suspects import SuspectContents
 from pondtiller.gateway.engines.zone_reach import ZoneReach
 from pondtiller.gateway.metrics import GatewayMetrics
@@ -56,28 +57,28 @@
     Parameters
     ----------
     zone
-        Zone of this gateway; engines in it are preferred.
+        Zone of this gateway; its engines are preferred.
     gate
-        Asked right before an attempt leaves.
+        Checked right before an attempt is sent.
     cold
-        Which engines are cold, and this gateway's shares of them; None where none ever is.
+        Which engines are cold, and this gateway's shares of their rates; None if none ever is.
     stalls
-        Knows how long this process stood still, which is no time of an engine.
+        Measures pauses of this process, which are excluded from the engines' answer times.
 
     Attributes
     ----------
     suspects
-        Contents under which engines ended.
+        Contents under which engines crashed.
     ends
-        Asked whether an engine has ended at which a request broke off.
+        Tells whether an engine has ended at which a request broke off.
     trials
-        Lets single requests of held contents through.
+        Allows single requests of quarantined contents.
     choice
-        Chooses engines, for streams too.
+        Chooses engines, also for streams.
     zones
-        Takes which zones answer.
+        Records which zones respond.
     cold
-        As given.
+        As the parameter.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         self._metrics = metrics
         self._times = ServiceTimes(engines)
         rng = random.Random(f"{zone}/{clock.new_incarnation()}")
-        self._lines = WaitingLines(rng)
+        self._lines = WaitingQueues(rng)
         self.cold = cold
         self.suspects = suspects or SuspectContents(metrics)
         self.ends = EngineEnds(engines, pool, metrics, self.suspects)
@@ -107,21 +108,21 @@
         self._stalls = stalls or StallWatch()
 
     def has_room(self, service: str, homes: frozenset[str]) -> bool:
-        """Return whether an engine in the homes would begin a request soon, by own work."""
+        """Return whether an engine in the homes would soon start a request, by own load alone."""
         return self.choice.has_room(service, homes, clock.monotonic())
 
     def usual_seconds(self, service: str) -> float:
-        """Return the time within which nearly all answers of a service came here."""
+        """Return the time within which nearly all answers of a service arrive here."""
         return self._times.usual_seconds(service)
 
     async def whole(self, request: ForwardedRequest, route: RouteRow) -> WholeAnswer | Failure:
-        """Return an engine's whole answer, or why there is none.
+        """Return an engine's whole answer, or the reason why there is none.
 
-        What may be repeated goes to a second engine too when the first is silent for longer than
-        nearly all answers take; the first good answer counts, and the other engine is left.
+        If the first engine takes longer than nearly all answers do, a repeatable request is also
+        sent to a second one. The first good answer counts, and the other attempt is cancelled.
         """
         service = route.choose_service(request.identifier)
-        is_trial = await self.trials.take(request, service, route.homes)
+        is_trial = await self.trials.try_start(request, service, route.homes)
         if is_trial:
             route = replace(route, attempts=1)
         whole = WholeRequest(request, route, service, is_trial)
@@ -143,9 +144,9 @@
             if now >= request.deadline and whole.ended.empty():
                 return self._late(route, attempts)
             if not attempts.running:
-                if self.suspects.is_held(whole.checked_content):
+                if self.suspects.is_quarantined(whole.checked_content):
                     return self.suspects.refuse(request.content, attempts.ran)
-                failure = await self._begin_in_turn(whole)
+                failure = await self._begin_or_wait(whole)
                 if failure is not None:
                     return failure
             patience = request.deadline - now
@@ -168,36 +169,36 @@
         return may_hedge(whole.attempts.hedge_inputs(whole.route, is_suspect))
 
     async def _hedge(self, whole: WholeRequest, usual_seconds: float) -> None:
-        """Begin an attempt beside those that run, where one is overdue or an engine is free."""
+        """Start a second attempt if the first is overdue, or if an engine has enough free slots."""
         now = clock.monotonic()
         if now >= whole.request.deadline:
             return
         attempts = whole.attempts
         if is_overdue(attempts.last_began, usual_seconds, now) or self.choice.has_spare(
-            attempts.wanted(whole.service, whole.route), now
+            attempts.constraints(whole.service, whole.route), now
         ):
             await self._begin(whole)
 
     async def _begin(self, whole: WholeRequest) -> bool:
-        """Begin an attempt at another engine; False where none may get the request now."""
-        if self.suspects.is_held(whole.checked_content):
+        """Start an attempt at another engine; return False if none may get the request now."""
+        if self.suspects.is_quarantined(whole.checked_content):
             return False
         now = clock.monotonic()
         engine = self.choice.choose_available(
-            whole.attempts.wanted(whole.service, whole.route), now
+            whole.attempts.constraints(whole.service, whole.route), now
         )
         if engine is None:
             return False
         self.choice.note_attempt(whole.service, engine, now)
         whole.attempts.begin(engine.identifier, now)
         whole.attempts.stalled_before = self._stalls.stalled_seconds()
-        # Counted before the attempt's task runs: others that are woken now must see it.
+        # Reserved before the attempt's task runs: other requests that wake now must see it.
         whole.attempts.reserve(engine)
         await whole.tasks.spawn(self._attempt, engine, whole)
         return True
 
-    async def _begin_in_turn(self, whole: WholeRequest) -> WholeAnswer | Failure | None:
-        """Begin an attempt, after those that are more urgent; return a failure where none began."""
+    async def _begin_or_wait(self, whole: WholeRequest) -> WholeAnswer | Failure | None:
+        """Start an attempt after more urgent requests; return a failure if none was started."""
         line = self._lines.of(whole.service, whole.route.homes)
         if not line.queue and await self._begin(whole):
             return None
@@ -205,16 +206,16 @@
             return self._exhausted(whole, line.queue)
         ticket = self._enter(whole, line)
         if ticket is None:
-            # It would be late behind the others, but it is not refused while a place is free.
+            # It would be late behind the others, but is not rejected while an engine has capacity.
             if line.queue and await self._begin(whole):
                 return None
             return self._exhausted(whole, line.queue)
         try:
             while clock.monotonic() < ticket.leave_by:
-                await line.wait_turn(ticket)
-                if self.suspects.is_held(whole.checked_content):
+                await line.wait_for_turn(ticket)
+                if self.suspects.is_quarantined(whole.checked_content):
                     return self.suspects.refuse(whole.request.content, whole.attempts.ran)
-                whole.attempts.look_again(whole.route.may_repeat)
+                whole.attempts.allow_again(whole.route.may_repeat)
                 if line.queue.first is ticket and await self._begin(whole):
                     return None
         finally:
@@ -226,7 +227,7 @@
         usable = self._engines.usable(whole.service, clock.monotonic(), whole.route.homes)
         return may_wait(whole.attempts.wait_inputs(whole.route, bool(usable)))
 
-    def _enter(self, whole: WholeRequest, line: WaitingLine) -> Ticket | None:
+    def _enter(self, whole: WholeRequest, line: WaitingQueue) -> Ticket | None:
         request, route, attempts = whole.request, whole.route, whole.attempts
         if attempts.ticket is not None:
             line.queue.requeue(attempts.ticket)
@@ -239,7 +240,7 @@
         return attempts.ticket
 
     async def _attempt(self, engine: Engine, whole: WholeRequest) -> None:
-        """Make one attempt, and say in the request's queue how it ended."""
+        """Make one attempt, and put its outcome into the request's queue."""
         request, attempts, ended = whole.request, whole.attempts, whole.ended
         attempts.reserved.remove(engine)
         began = self._stalls.running_seconds()
@@ -248,8 +249,8 @@
             seconds = self._stalls.running_seconds() - began
             end = end_of_answer(_facts(answer))
             await ended.put(EndedAttempt(engine, end, answer, seconds=seconds))
-        except HeldBackError as error:
-            attempts.hold_back(engine, error.reason)
+        except SendBlockedError as error:
+            attempts.note_blocked(engine, error.reason)
             await ended.put(EndedAttempt(engine, AttemptEnd.HELD_BACK))
         except NotSentError as error:
             self.zones.note_unreachable(engine, error)
@@ -257,8 +258,8 @@
             detail = f"{engine.identifier}:unreachable"
             await ended.put(EndedAttempt(engine, AttemptEnd.UNREACHABLE, detail=detail))
         except BrokenError as error:
-            # Those that wait need not wait for the confirmation.
-            await self._lines.call(engine.entry.service)
+            # Waiting requests need not wait for the confirmation.
+            await self._lines.wake(engine.entry.service)
             has_ended = await self.ends.confirm(
                 engine.identifier, engine.entry.address, request.identifier, request.content
             )
@@ -266,13 +267,13 @@
             detail = f"{engine.identifier}:{how}({error})"
             await ended.put(EndedAttempt(engine, AttemptEnd.BROKEN, detail=detail))
         finally:
-            # After the answer, which may be due soon: those that wait take the loop for a while.
-            await self._lines.call(engine.entry.service)
+            # After the answer, which may be due soon: waking the others takes up the event loop.
+            await self._lines.wake(engine.entry.service)
 
     async def _send(self, engine: Engine, whole: WholeRequest) -> WholeAnswer:
-        """Return an engine's answer, and free the place that was reserved there.
+        """Return an engine's answer, and release the reserved slot.
 
-        Raises `HeldBackError`, `NotSentError`, `BrokenError`.
+        Raises `SendBlockedError`, `NotSentError`, `BrokenError`.
         """
         request, attempts = whole.request, whole.attempts
         self._metrics.attempts += 1
@@ -289,7 +290,7 @@
             is_unanswered = True
             head = await self._sender.send(connection, engine.identifier, request, attempts)
             is_unanswered = False
-            self.zones.note_heard(engine)
+            self.zones.note_answer(engine)
             body = b"".join([piece async for piece in connection.read_body()])
             if engine_answers.is_not_run(head.status, head.headers):
                 attempts.sent -= 1
@@ -306,19 +307,19 @@
             if is_unanswered:
                 self.zones.note_unanswered(engine, seconds)
             engine.end_work()
-            attempts.left_when_sent.pop(engine.identifier, None)
+            attempts.seconds_left_when_sent.pop(engine.identifier, None)
             if connection is not None:
                 await connection.close()
 
     def _send_by(self, whole: WholeRequest) -> float:
-        """Return when an attempt must have left to be answered in time, at the row's pace."""
+        """Return when an attempt must have been sent to be answered in time, at the row's pace."""
         pace = self._times.pace(whole.route, whole.service, clock.monotonic())
         return whole.request.deadline - pace.own_seconds
 
     def _judge(
         self, ended: EndedAttempt, route: RouteRow, attempts: RequestAttempts
     ) -> WholeAnswer | Failure | None:
-        """Return an answer that goes back, or None where another engine may get it."""
+        """Return an answer to give back, or None if another engine may get the request."""
         verdict = judge(ended.end, route.may_repeat)
         self._note_end(ended, route, attempts)
         if verdict.step is NextStep.ANSWER:
@@ -329,7 +330,7 @@
         return Failure(verdict.error) if verdict.error is not None else None
 
     def _note_end(self, ended: EndedAttempt, route: RouteRow, attempts: RequestAttempts) -> None:
-        """Take for the engine, and for the log line, how an attempt ended."""
+        """Record an attempt's outcome for its engine and for the log line."""
         engine, now = ended.engine, clock.monotonic()
         if ended.end is AttemptEnd.HELD_BACK:
             return
@@ -347,14 +348,14 @@
             self._times.note_answer(engine, route, ended.seconds, now)
 
     def _note_full(self, engine: Engine, answer: WholeAnswer, route: RouteRow) -> None:
-        """Take a refusal; one that says that the engine is another start tells nothing of room."""
+        """Record a refusal; one that names another incarnation does not mean a full queue."""
         now = clock.monotonic()
         engine.note_refusal(now)
         if answer.status != engine_answers.MISDIRECTED:
             engine.limit.note_late(engine.running + 1, route.objective_seconds, now)
 
     def _exhausted(self, whole: WholeRequest, queue: LiveQueue) -> WholeAnswer | Failure:
-        """Return what a request is answered that no engine is left for."""
+        """Return the answer to a request for which no engine is left."""
         attempts = whole.attempts
         if attempts.last_failure is not None:
             return attempts.last_failure
@@ -367,9 +368,9 @@
         return Failure(kind, retry_after_seconds=pause)
 
     def _late(self, route: RouteRow, attempts: RequestAttempts) -> Failure:
-        """Return what a request is answered whose deadline passed."""
+        """Return the answer to a request whose deadline has passed."""
         now = clock.monotonic()
-        # An answer that came in a standstill may lie unread: that is not the engine's lateness.
+        # An answer that arrived during a pause may still be unread; the engine was not late then.
         has_stalled = self._stalls.stalled_seconds() > attempts.stalled_before
         for name in attempts.engines:
             engine = self._engines.engines.get(name)
@@ -400,7 +401,7 @@
 
 
 async def _next_end(whole: WholeRequest, patience: float) -> EndedAttempt | None:
-    """Return the next attempt that ends, or has ended; None where none does in so many seconds."""
+    """Return the next attempt that has ended; None if there is none within so many seconds."""
     ended: EndedAttempt
     try:
         if whole.ended.empty():
@@ -421,5 +422,5 @@
 
 
 def is_streamed(route: RouteRow) -> bool:
-    """Return whether a route's answers are streams of events."""
+    """Return whether a route's answers are event streams."""
     return route.kind is RequestKind.STREAM
--- a/src/pondtiller/gateway/callers/front.py
+++ b/src/pondtiller/gateway/callers/front.py
@@ -1,8 +1,8 @@
-"""Every exchange on the callers' address: decoded, refused at once, or handed on.
+"""Entry point of all requests on the callers' address: parsing, rejection, dispatch.
 
-Owns the number of requests that are being answered and whether the process is about to end; neither
-lasts. Who is refused is decided in `request_routing.py`; live requests are answered in
-`live_requests.py`, trainers in `step_requests.py`.
+Holds the number of requests in progress and whether the process is about to end. Which requests are
+rejected is decided in `request_routing.py`; live requests are answered in `live_requests.py`,
+trainers' requests in `step_requests.py`.
 """
 
 from collections.abc import Callable
@@ -31,17 +31,17 @@
 
 
 class Front:
-    """Handles every exchange on the callers' address.
+    """Handles all requests on the callers' address.
 
     Attributes
     ----------
     in_force
-        Holds the table that decides.
+        Holds the table in force.
     open_exchanges
-        Requests that are being answered now.
+        Number of requests being answered.
     is_closed
-        Whether the process is about to end: what comes now is not run, since its answer would be
-        cut. Callers that use their connections to the last moment send as it ends.
+        Whether the process is about to end: requests that arrive now are rejected as not run, since
+        their answers would be cut off. Callers may send on kept connections until they are closed.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
 
     @property
     def table(self) -> RouteTable | None:
-        """Rows in force; None until the first are known."""
+        """Table in force; None until the first one is known."""
         return self.in_force.table
 
     async def handle(self, exchange: Exchange) -> None:
@@ -87,7 +87,7 @@
     async def _fail_internally(
         self, exchange: Exchange, request: CallerRequest, error: Exception
     ) -> None:
-        """Answer where a bug would otherwise close the connection without a word."""
+        """Answer after an internal error, which would otherwise close the connection silently."""
         logs.decision(
             "internal_error",
             request=request.identifier,
--- a/src/pondtiller/gateway/callers/key_freshness.py
+++ b/src/pondtiller/gateway/callers/key_freshness.py
@@ -1,8 +1,8 @@
-"""Whether this gateway may still trust the keys that it knows.
+"""Whether this gateway may still trust the tenants' keys that it knows.
 
-A key may be revoked while the gateway does not hear of the configuration. Where the settings ask
-for it (`fail_closed`), requests that need a key are then refused as not ready and not run, once
-that has lasted too long. It owns only whether keys were trusted at the last look, for the log line.
+A key may be revoked while the gateway receives no configuration. If the settings ask for it
+(`fail_closed`), requests that need a key are rejected as not ready and not run once this has lasted
+too long. Holds only whether keys were trusted at the last check, for the log.
 """
 
 from collections.abc import Callable
@@ -13,8 +13,8 @@
 from pondtiller.store.news_times import NewsTimes
 
 MARGIN_SECONDS = 0.2
-"""For an answer that is on its way while a request is admitted, in seconds. Chosen, not measured:
-more of it only refuses keys this much earlier, and a call to the store takes a part of it."""
+"""Margin for an answer in transit while a request is admitted. A larger one rejects keys earlier;
+a call to the store takes a part of it."""
 
 
 class KeyFreshness:
@@ -22,26 +22,26 @@
 
     Parameters
     ----------
-    heard_at
-        Returns when the configuration was last heard of, on the steady clock.
+    last_answer_at
+        Returns when the configuration was last received, in monotonic time.
     """
 
-    def __init__(self, settings: Keys, heard_at: Callable[[], float]) -> None:
+    def __init__(self, settings: Keys, last_answer_at: Callable[[], float]) -> None:
         self._fails_closed = settings.fail_closed
-        # What a mirror answers may itself be as old as a mirror's data may be.
+        # A mirror's answer may be as old as a mirror's data may be.
         self._longest_seconds = settings.unheard - FRESH_SECONDS - MARGIN_SECONDS
-        self._heard_at = heard_at
+        self._last_answer_at = last_answer_at
         self._was_fresh = True
 
     def times(self, times: NewsTimes) -> NewsTimes:
-        """Return waits of which one call is answered in time also by a store without changes."""
+        """Return waits after which a call is answered in time even if nothing has changed."""
         if not self._fails_closed:
             return times
         return times._replace(wait_seconds=min(times.wait_seconds, self._longest_seconds / 2))
 
     def is_fresh(self) -> bool:
         """Return whether keys may be trusted now."""
-        age = clock.monotonic() - self._heard_at()
+        age = clock.monotonic() - self._last_answer_at()
         is_fresh = not self._fails_closed or age <= self._longest_seconds
         if is_fresh != self._was_fresh:
             self._was_fresh = is_fresh
--- a/src/pondtiller/gateway/callers/live_requests.py
+++ b/src/pondtiller/gateway/callers/live_requests.py
@@ -1,7 +1,7 @@
 """Live requests: counted against their tenant's rate, sent to an engine, answered.
 
-Owns nothing beyond the request that it answers. Relies on `forward.py` and `streams.py` to send it,
-and on `tenant_rates.py` for what a tenant may send. Chooses no engine: `routes.engine_choice` does.
+Holds no state beyond the request. Relies on `forward.py` and `streams.py` to send it, and on
+`tenant_rates.py` for the tenant's rate. Engines are chosen by `routes.engine_choice`.
 """
 
 from pondtiller.gateway.callers.attempts import WholeAnswer
@@ -50,7 +50,7 @@
         routed: RoutedRequest,
         decided_by: TableReading,
     ) -> None:
-        """Answer one request; its use is counted in the window in which an engine began it."""
+        """Answer a request; its usage counts in the window in which an engine started it."""
         route, tenant = routed
         beginning = self._meter.open(tenant, clock.monotonic())
         forwarded = forwarded_request(request, route, beginning, decided_by)
@@ -84,7 +84,7 @@
 def forwarded_request(
     request: CallerRequest, route: RouteRow, beginning: Beginning, decided_by: TableReading
 ) -> ForwardedRequest:
-    """Return a request as it is sent on: due after the row's time limit, or earlier if asked so."""
+    """Return the request to forward: due after the row's time limit, or the caller's if shorter."""
     limit = route.time_limit_seconds
     seconds = limit if request.seconds is None else min(limit, request.seconds)
     return ForwardedRequest(
--- a/src/pondtiller/gateway/callers/refusal_log.py
+++ b/src/pondtiller/gateway/callers/refusal_log.py
@@ -1,4 +1,4 @@
-"""The log line of a request that is refused before anything is done for it."""
+"""Log lines of requests that are rejected before any processing."""
 
 from pondtiller.gateway.callers.request_routing import HOME_REASONS, Reason, Refusal
 from pondtiller.gateway.callers.table_in_force import TableReading
@@ -8,10 +8,10 @@
 
 
 def log_refusal(refusal: Refusal, request: CallerRequest, decided_by: TableReading) -> None:
-    """Write why a request is refused.
+    """Log why a request is rejected.
 
-    There is no line for a gateway without a table, nor for one whose keys are too old: readiness
-    and the event `keys_trusted` say so once for all requests.
+    Nothing is logged for a gateway without a table or with keys that are too old: readiness and the
+    event `keys_trusted` report that once for all requests.
     """
     if refusal.reason is Reason.NO_ROUTE:
         logs.decision(
--- a/src/pondtiller/gateway/callers/request.py
+++ b/src/pondtiller/gateway/callers/request.py
@@ -1,7 +1,6 @@
-"""A caller's request on its way: what is sent on, and its attempts at one or two engines.
+"""A caller's request in progress: what is forwarded, and its attempts.
 
-Owns what lasts as long as one request. A request is what the caller sent; an attempt, in
-`attempts`, is one sending of it to one engine.
+A request is what the caller sent; an attempt, in `attempts`, sends it once to one engine.
 """
 
 from dataclasses import dataclass, field
@@ -19,17 +18,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedRequest:
-    """A request as it is sent on.
+    """A request as it is forwarded.
 
     Attributes
     ----------
     deadline
-        When the answer is due, on the steady clock.
+        When the answer is due, in monotonic time.
     beginning
-        Whose request it is, and when an engine began it.
+        Whose request it is, and when an engine started it.
     content
-        Digest of what makes it the same request when it comes again: caller, host, method, path
-        and body.
+        Digest that identifies a retry of the same request: caller, host, method, path and body.
     decided_by
         Table by which the request was routed.
     """
@@ -47,20 +45,20 @@
 
 @dataclass(eq=False)
 class WholeRequest:
-    """A request that is answered whole, with its attempts: the first good answer counts.
+    """A request with a whole answer and its attempts; the first good answer counts.
 
     Attributes
     ----------
     service
-        Whose engines may get it.
+        Service whose engines may get it.
     attempts
-        What was attempted so far.
+        State of its attempts.
     ended
         A `curio.Queue` of `EndedAttempt`.
     tasks
-        The attempts that go on.
+        Attempts in progress.
     is_trial
-        Whether it goes to one engine though its content is held back.
+        Whether it is sent to one engine although its content is quarantined.
     """
 
     request: ForwardedRequest
@@ -73,5 +71,5 @@
 
     @property
     def checked_content(self) -> str:
-        """Content that is held back from engines where others ended under it; empty for a trial."""
+        """Content to check against the quarantine; empty for a trial."""
         return "" if self.is_trial else self.request.content
--- a/src/pondtiller/gateway/callers/request_routing.py
+++ b/src/pondtiller/gateway/callers/request_routing.py
@@ -1,9 +1,8 @@
-"""Which row serves a request and whose it is, or why it is refused at once. No I/O.
+"""Row and tenant of a request, or the reason for its rejection. No I/O.
 
-Owns no state: it reads the table in force. It relies on `platform.requests` for requests that are
-decoded and on `KeyFreshness` for whether keys may be trusted. It chooses no engine
-(`routes.engine_choice`), counts no request against a rate (`tenant_rates.py`) and writes no log
-line: `log_refusal` does, from the refusal that these decisions return.
+Reads the table in force. Relies on `platform.requests` for parsed requests and on `KeyFreshness`
+for whether keys may be trusted. Does not choose an engine (`routes.engine_choice`) or count
+requests against a rate (`tenant_rates.py`); rejections are logged by `log_refusal`.
 """
 
 from collections.abc import Callable
@@ -20,11 +19,11 @@
 from pondtiller.routes.topology import Topology
 
 STEPS_LABEL = "step"
-"""Stands for the row in the metric of requests about steps that were submitted before."""
+"""Label, in place of a row, of metrics for requests about submitted steps."""
 
 
 class Reason(Enum):
-    """Why a request is refused before anything is done for it."""
+    """Why a request is rejected before any processing."""
 
     NO_TABLE = auto()
     NO_ROUTE = auto()
@@ -38,22 +37,22 @@
     Reason.NO_COMMON_HOME: "the row and the tenant have no home in common",
     Reason.STEP_LEAVES_HOMES: "a step cannot be kept inside its homes",
 }
-"""What the log line and the answer say of a refusal for the sake of homes."""
+"""Text about a rejection because of homes, for the log line and the answer."""
 
 
 class Refusal(NamedTuple):
-    """A request that is refused.
+    """A rejected request.
 
     Attributes
     ----------
     failure
-        What the caller is answered.
+        Answer to the caller.
     label
-        Row that the metric counts it under; empty where no row was found.
+        Row under which the metric counts it; empty if no row was found.
     version
-        Version of the table that decided; 0 where there is none.
+        Version of the table that decided; 0 if there is none.
     homes
-        Regions to which the request was bound; empty where that is not the reason.
+        Regions that the request is restricted to; empty unless they are the reason.
     """
 
     reason: Reason
@@ -64,14 +63,14 @@
 
 
 class RoutedRequest(NamedTuple):
-    """A request that may go on.
+    """A request that is accepted.
 
     Attributes
     ----------
     route
-        Row that serves it, with the homes that row and tenant have in common.
+        Row that serves it, with the home regions that row and tenant have in common.
     tenant
-        Whose it is; empty on rows that need no key.
+        Its tenant; empty on rows that need no key.
     """
 
     route: RouteRow
@@ -95,7 +94,7 @@
         self._are_keys_fresh = are_keys_fresh
 
     def route(self, request: CallerRequest) -> Result[RoutedRequest, Refusal]:
-        """Return the row and the tenant of a live request, or of a step that is submitted."""
+        """Return the row and the tenant of a live request, or of a submitted step."""
         table = self._in_force.table
         if table is None:
             return Err(Refusal(Reason.NO_TABLE, Failure(ErrorKind.NOT_READY)))
@@ -106,10 +105,10 @@
         owner = self._owner(request, table, route)
         if isinstance(owner, Err):
             return owner
-        return self._keep_at_home(request, table, route, owner.ok_value)
+        return self._restrict_to_homes(request, table, route, owner.ok_value)
 
     def step_owner(self, request: CallerRequest) -> Result[str, Refusal]:
-        """Return whose steps a request may see: empty text for those of no tenant."""
+        """Return the tenant whose steps a request may access; empty for steps without a tenant."""
         table = self._in_force.table
         if table is None:
             return Err(Refusal(Reason.NO_TABLE, Failure(ErrorKind.NOT_READY), STEPS_LABEL))
@@ -120,16 +119,16 @@
     def _owner(
         self, request: CallerRequest, table: RouteTable, route: RouteRow
     ) -> Result[str, Refusal]:
-        """Return whose a request is: empty text on rows that need no key."""
+        """Return the tenant of a request; empty on rows that need no key."""
         return self._tenant(request, table, route.name) if table.needs_key(route) else Ok("")
 
     def _tenant(
         self, request: CallerRequest, table: RouteTable, label: str
     ) -> Result[str, Refusal]:
-        """Return the tenant that holds the key that a request shows.
+        """Return the tenant of the key in a request.
 
-        Keys that may have been revoked meanwhile are refused as not ready, not as unknown: the
-        same request may be served by a gateway that has heard of the table since.
+        Keys that may have been revoked are rejected as not ready, not as unknown: a gateway with a
+        newer table may serve the same request.
         """
         if not self._are_keys_fresh():
             failure = Failure(ErrorKind.NOT_READY, "keys may have changed")
@@ -141,13 +140,13 @@
             return Err(Refusal(Reason.UNKNOWN_KEY, failure, label, table.version))
         return Ok(tenant.name)
 
-    def _keep_at_home(
+    def _restrict_to_homes(
         self, request: CallerRequest, table: RouteTable, route: RouteRow, tenant: str
     ) -> Result[RoutedRequest, Refusal]:
-        """Narrow a row to the homes that it shares with the tenant; refuse what cannot stay there.
+        """Restrict a row to the homes that it shares with the tenant; reject what may leave them.
 
-        A step goes to the leader, to the members of the replicas' group and to runners, which may
-        be in any region: it is taken where all regions are homes.
+        A step is sent to the leader, to the members of the replica group and to runners, which may
+        be in any region: it is accepted only if all regions are homes.
         """
         homes = table.homes_for(route, tenant)
         if homes is None:
--- a/src/pondtiller/gateway/callers/sending.py
+++ b/src/pondtiller/gateway/callers/sending.py
@@ -1,12 +1,12 @@
-"""The one way in which an attempt leaves for an engine.
+"""Sends an attempt to an engine: the single path for all requests.
 
-Whole requests, scorers' requests, streams and samples' runs all pass here: the wait for a share of
-a cold engine, the connection, the gate, held-back contents, the deadline, and the count of what was
-sent.
+Whole requests, scorers' requests, streams and runs of samples all use it. It covers the wait for a
+share of a cold engine's rate, the connection, the gate, the quarantine, the deadline, and the count
+of sent attempts.
 
-Owns no state. Relies on `EnginePool` for connections and on `SendGate` for what forbids an engine
-new work. Does not choose an engine, read an answer's body, or decide what comes after: the callers
-do, by `routes.engine_choice` and `routes.live_attempts`.
+Stateless. Relies on `EnginePool` for connections and on `SendGate` for conditions that forbid new
+work. Does not choose an engine, read an answer's body, or decide what follows: its callers do, by
+`routes.engine_choice` and `routes.live_attempts`.
 """
 
 from pondtiller.address import Address
@@ -17,7 +17,7 @@
     AnswerHead,
     EngineConnection,
     EnginePool,
-    HeldBackError,
+    SendBlockedError,
 )
 from pondtiller.gateway.engines.suspects import SuspectContents
 from pondtiller.platform.headers import continued, forwarded_headers
@@ -31,11 +31,11 @@
     Parameters
     ----------
     gate
-        Asked right before an attempt leaves.
+        Checked right before an attempt is sent.
     suspects
-        Contents under which engines ended.
+        Contents under which engines crashed.
     cold
-        This gateway's shares of cold engines; None where no engine is ever cold.
+        This gateway's shares of cold engines' rates; None if no engine is ever cold.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         self._cold = cold
 
     async def prepare(self, engine: str, deadline: float) -> None:
-        """Wait for what an engine's gate will ask for, before a connection is held.
+        """Wait for what the gate will require for an engine, before a connection is taken.
 
         Parameters
         ----------
         deadline
-            When the request's answer is due, on the steady clock.
+            When the request's answer is due, in monotonic time.
         """
         if self._cold is not None:
             await self._cold.prepare(engine, deadline)
@@ -64,31 +64,31 @@
     async def take(
         self, engine: str, address: Address, content: str, send_by: float
     ) -> EngineConnection:
-        """Return a connection on which an attempt is to leave at once.
+        """Return a connection on which an attempt must be sent at once.
 
-        Raises `HeldBackError` where it must not leave, and `NotSentError` where no connection came
-        up.
+        Raises `SendBlockedError` if it must not be sent, `NotSentError` if no connection could be
+        opened.
 
         Parameters
         ----------
         send_by
-            When it must have left to be answered in time, on the steady clock.
+            When it must have been sent to be answered in time, in monotonic time.
         """
         connection = await self._pool.take(engine, address)
-        # The gate counts a cold engine's share, so it is asked last.
+        # The gate counts a cold engine's share, so it comes last.
         held = self._held(content, send_by) or self._gate.check(engine, clock.monotonic())
         if held is None:
             return connection
         await self._pool.give_back_unused(connection)
-        raise HeldBackError(held)
+        raise SendBlockedError(held)
 
     def _held(self, content: str, send_by: float) -> BlockReason | None:
-        """Return what came up while the connection was awaited.
+        """Return a reason that came up while waiting for the connection.
 
-        Other runs of the same content may have ended their engines meanwhile: each attempt after
-        the last end that is allowed costs an engine.
+        Other runs of the same content may have crashed their engines meanwhile; each attempt beyond
+        the limit costs another engine.
         """
-        if self._suspects.is_held(content):
+        if self._suspects.is_quarantined(content):
             return BlockReason.ENDS_ENGINES
         return BlockReason.LATE if clock.monotonic() >= send_by else None
 
@@ -105,12 +105,12 @@
         Parameters
         ----------
         last_event
-            Number of the event after which a stream goes on; 0 where it begins.
+            Number of the event after which a stream continues; 0 if it starts.
         """
-        # Counted first: a connection that breaks meanwhile may have brought a part to the engine.
+        # Counted before sending: if the connection breaks, the engine may have received a part.
         attempts.sent += 1
         left = request.deadline - clock.monotonic()
-        attempts.left_when_sent[engine] = left
+        attempts.seconds_left_when_sent[engine] = left
         headers = forwarded_headers(request.headers, engine, left)
         if last_event:
             headers = continued(headers, last_event)
--- a/src/pondtiller/gateway/callers/step_requests.py
+++ b/src/pondtiller/gateway/callers/step_requests.py
@@ -1,7 +1,7 @@
 """Trainers' requests: submit a step, read its results, end it, read a sample's body.
 
-Owns nothing: steps are kept by the leader and the replicas, and `peers/leader_client.py` reaches
-them. Whose steps a request may see is decided in `request_routing.py`.
+Stateless: steps are kept by the leader and the replicas, which `peers/leader_client.py` calls.
+Which steps a request may access is decided in `request_routing.py`.
 """
 
 from result import Err
@@ -22,15 +22,15 @@
 from pondtiller.routes.tenants import owned_name
 from pondtiller.wire.steplog import Sample
 
-LONGEST_READ_WAIT_SECONDS = 1.0
-"""Longest wait of one read for a result that is not there yet, in seconds; a trainer that wants to
-wait longer reads again. It bounds how long a read stays with one gateway and the leader that this
-one knew. Chosen, not measured: one read a second is little beside the results of a step."""
+MAX_READ_WAIT_SECONDS = 1.0
+"""Longest wait of one read for a result; a trainer that wants to wait longer reads again. Limits
+how long a read stays with one gateway and the leader that this gateway knew. One read a second is
+cheap compared with the results of a step."""
 STATUS_KINDS = {
     StepStatus.UNKNOWN: ErrorKind.UNKNOWN_STEP,
     StepStatus.UNAVAILABLE: ErrorKind.NOT_READY,
 }
-"""What a trainer is answered by a step's status; any other one leaves the outcome unknown."""
+"""Error for a trainer by a step's status; with any other status the outcome is unknown."""
 
 
 class StepRequests:
@@ -48,7 +48,7 @@
         routed: RoutedRequest,
         decided_by: TableReading,
     ) -> None:
-        """Open a step within its tenant's rate; it is accepted once the replicas hold it."""
+        """Open a step within its tenant's rate; it is accepted once the replicas have it."""
         route, tenant = routed
         limit = route.time_limit_seconds
         failure = await self._rates.admit(tenant, request.identifier, limit)
@@ -95,7 +95,7 @@
             await self._failures.answer(exchange, Failure(ErrorKind.BAD_REQUEST), "")
             return
         position = max(0, read.ok_value.position)
-        wait = min(read.ok_value.wait_seconds, LONGEST_READ_WAIT_SECONDS)
+        wait = min(read.ok_value.wait_seconds, MAX_READ_WAIT_SECONDS)
         page = await run_until(exchange.wait_closed, self._steps.read, step, position, wait)
         if page is None:
             return
--- a/src/pondtiller/gateway/callers/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -1,12 +1,12 @@
-"""Streams of events from an engine to a caller, continued on another engine where allowed.
+"""Event streams from an engine to a caller, resumed on another engine if allowed.
 
-Owns a stream on its way: what the caller has of it, and its attempts. An attempt leaves as all
-others do (`sending`), the engine is chosen as for whole requests (`routes.engine_choice`), and what
-an attempt's end means is `routes.live_attempts.judge_stream`.
+Holds a stream in progress: which events the caller has, and its attempts. An attempt is sent like
+all others (`sending`), the engine is chosen as for whole requests (`routes.engine_choice`), and the
+meaning of an attempt's outcome is `routes.live_attempts.judge_stream`.
 
-A stream differs from a whole request in that it has one attempt at a time, waits in no line and for
-no room (an engine that is full queues it or refuses it), and counts each engine that it was sent to
-or could not reach. None of this was measured against the way of whole requests.
+In contrast to a whole request, a stream has one attempt at a time, does not queue for an engine or
+a free slot (a full engine queues or refuses it), and counts each engine that it was sent to or that
+could not be reached.
 """
 
 from dataclasses import dataclass, field
@@ -23,7 +23,7 @@
     AnswerHead,
     EngineConnection,
     EnginePool,
-    HeldBackError,
+    SendBlockedError,
 )
 from pondtiller.httpio.client import BrokenError, NotSentError
 from pondtiller.httpio.messages import HttpResponse
@@ -44,22 +44,22 @@
 from pondtiller.routes.send_gate import BlockReason, SendGate
 from pondtiller.routes.table import RouteRow
 
-HELD_AFTER_CHOICE = (BlockReason.ENDS_ENGINES, BlockReason.LATE)
-"""What holds a request back from all engines: the one that was chosen is not to be passed over."""
+BLOCKS_ALL_ENGINES = (BlockReason.ENDS_ENGINES, BlockReason.LATE)
+"""Reasons that apply to all engines: the chosen one need not be excluded."""
 
 
 @dataclass(eq=False)
 class Stream:
-    """One stream on its way.
+    """One stream in progress.
 
     Attributes
     ----------
     service
-        Whose engines may get it.
+        Service whose engines may get it.
     is_begun
-        Whether the caller has a part of it.
+        Whether the caller has received a part of it.
     last_event
-        Number of the last event that came; 0 before the first.
+        Number of the last event received; 0 before the first.
     """
 
     exchange: Exchange
@@ -72,12 +72,12 @@
 
 
 class StreamStep(NamedTuple):
-    """What comes after an attempt.
+    """What follows an attempt.
 
     Attributes
     ----------
     failure
-        What the caller is answered; None unless the stream is given up.
+        Answer to the caller; None unless the stream is given up.
     """
 
     step: NextStep
@@ -89,7 +89,7 @@
 
 
 class StreamForwarder:
-    """Passes streams on, event by event."""
+    """Forwards streams, event by event."""
 
     def __init__(self, forwarder: Forwarder, pool: EnginePool, gate: SendGate) -> None:
         self._forwarder = forwarder
@@ -97,7 +97,7 @@
         self._sender = EngineSender(pool, gate, forwarder.suspects, forwarder.cold)
 
     async def forward(self, exchange: Exchange, request: ForwardedRequest, route: RouteRow) -> None:
-        """Answer a request with a stream; the caller's leaving ends the engine's work."""
+        """Answer a request with a stream; if the caller leaves, the engine's work is cancelled."""
         stream = Stream(exchange, request, route, route.choose_service(request.identifier))
         async with curio.TaskGroup(wait=any) as group:
             await group.spawn(self._run, stream)
@@ -120,15 +120,15 @@
         if failure is None:
             return
         if stream.is_begun:
-            # The caller must not take what it has for the whole.
+            # The caller must not mistake the received part for the whole.
             raise ConnectionLostError("the stream could not be continued")
         await stream.exchange.respond(failure_response(failure))
 
     async def _next_attempt(self, stream: Stream) -> StreamStep:
-        """Make one attempt, where the stream may still have one."""
+        """Make one more attempt if the stream is allowed one."""
         request, route, attempts = stream.request, stream.route, stream.attempts
         suspects = self._forwarder.suspects
-        if suspects.is_held(request.content):
+        if suspects.is_quarantined(request.content):
             return StreamStep(NextStep.GIVE_UP, suspects.refuse(request.content, attempts.ran))
         now = clock.monotonic()
         choice = self._forwarder.choice
@@ -136,7 +136,7 @@
         if engine is None or len(attempts.engines) >= route.attempts:
             return StreamStep(NextStep.GIVE_UP, Failure(error_without_engines(attempts.ran)))
         if now >= request.deadline:
-            # Said also where nothing ran: a stream stands in no line in which it could expire.
+            # Also if nothing ran: a stream does not queue, so it cannot expire in a queue.
             return StreamStep(NextStep.GIVE_UP, Failure(ErrorKind.DEADLINE_EXCEEDED))
         attempts.engines.add(engine.identifier)
         return await self._attempt(stream, engine)
@@ -151,9 +151,9 @@
                 engine.identifier, engine.entry.address, request.content, request.deadline
             )
             return await self._pass_on(stream, engine, connection)
-        except HeldBackError as error:
-            if error.reason not in HELD_AFTER_CHOICE:
-                attempts.hold_back(engine, error.reason)
+        except SendBlockedError as error:
+            if error.reason not in BLOCKS_ALL_ENGINES:
+                attempts.note_blocked(engine, error.reason)
             return self._judge(stream, AttemptEnd.HELD_BACK)
         except NotSentError as error:
             self._forwarder.zones.note_unreachable(engine, error)
@@ -183,7 +183,7 @@
         head = await self._sender.send(
             connection, engine.identifier, request, stream.attempts, stream.last_event
         )
-        self._forwarder.zones.note_heard(engine)
+        self._forwarder.zones.note_answer(engine)
         if not 200 <= head.status < 300:
             return await self._refused(stream, connection, head)
         if not stream.is_begun:
@@ -197,7 +197,7 @@
     async def _refused(
         self, stream: Stream, connection: EngineConnection, head: AnswerHead
     ) -> StreamStep:
-        """Take an answer that is no stream; it goes back where no other engine may help."""
+        """Handle an answer that is no stream; it is returned if no other engine may be tried."""
         body = b"".join([piece async for piece in connection.read_body()])
         stream.attempts.details.append(f"{connection.engine}:status({head.status})")
         if engine_answers.is_not_run(head.status, head.headers):
@@ -211,7 +211,7 @@
         return step
 
     async def _pass_events(self, stream: Stream, connection: EngineConnection) -> None:
-        """Pass whole events on; a part of one is held until the rest has come."""
+        """Forward whole events; a partial event is kept until the rest has arrived."""
         reader = EventReader()
         held = b""
         async for piece in connection.read_body():
--- a/src/pondtiller/gateway/callers/table_in_force.py
+++ b/src/pondtiller/gateway/callers/table_in_force.py
@@ -1,7 +1,7 @@
 """The table that is in force at this gateway.
 
-Owns the table: set by the gateway's watches, read by whoever decides by its rows. It does not last;
-a gateway that starts reads the table from the store. Whether a table may replace the one in force
+Set by the gateway's watches, read by everything that decides by its rows. It is not persisted: a
+gateway reads the table from the store when it starts. Whether a table may replace the one in force
 is decided in `gateway/watches.py`.
 """
 
@@ -13,15 +13,14 @@
 
 
 class TableReading(NamedTuple):
-    """Which table decided about a request, for its log line.
+    """Table that decided about a request, for its log line.
 
     Attributes
     ----------
     version
-        Version of the table; 0 where none was known.
+        Version of the table; 0 if none was known.
     age_seconds
-        How long before the decision the store was last known to hold no newer one; NaN where that
-        is not told.
+        Age of the latest information that the store holds no newer table; NaN if unknown.
     """
 
     version: int = 0
@@ -29,7 +28,7 @@
 
 
 NOT_DECIDED = TableReading()
-"""Of a request that no table routed."""
+"""For a request that was not routed by a table."""
 
 
 def _no_age() -> float:
@@ -42,9 +41,9 @@
     Attributes
     ----------
     table
-        Rows in force; None until the first are known.
+        Table in force; None until the first one is known.
     age_seconds
-        Returns for how long nothing was known of newer configurations, in seconds.
+        Returns how long no information about newer configurations has arrived, in seconds.
     """
 
     def __init__(self) -> None:
--- a/src/pondtiller/gateway/callers/tenant_rates.py
+++ b/src/pondtiller/gateway/callers/tenant_rates.py
@@ -1,7 +1,7 @@
-"""Holds tenants to their rates: a request of a tenant that has one takes a place of a share first.
+"""Enforces tenants' rates: each request of a limited tenant first takes a place of a share.
 
-Owns nothing: `ShareAsker` holds this gateway's shares, which a leader grants. What a rate allows,
-and what a request above it is answered, is `routes.rates`.
+Stateless: `ShareAsker` holds this gateway's shares, which a leader grants. What a rate allows, and
+how a request above it is answered, is decided in `routes.rates`.
 """
 
 from collections.abc import Callable
@@ -16,23 +16,23 @@
 from pondtiller.routes.tenants import TenantRow
 
 WAIT_SECONDS = 0.25
-"""Longest wait for a share: a leader in another region answers within 0.05 s, and a request that is
-refused in the end should not have been held for long."""
-PART_OF_DEADLINE = 0.25
-"""Part of a request's time that it may wait for a share, where that is less than `WAIT_SECONDS`.
-Chosen, not measured: binds only requests due within 1 s, and leaves them most of their time to be
-served, or to come back."""
+"""Longest wait for a share: a leader in another region answers within 0.05 s, and a request that
+will be rejected should not be delayed for long."""
+MAX_WAIT_SHARE = 0.25
+"""Part of a request's remaining time that it may wait for a share, if less than `WAIT_SECONDS`.
+Applies only to requests due within 1 s, and leaves them most of their time to be served or
+retried."""
 
 
 class TenantRates:
-    """The rates of tenants at one daemon.
+    """Rates of tenants at one daemon.
 
     Parameters
     ----------
     excess
         Part by which all daemons together may exceed a rate.
     find_table
-        Returns the rows in force.
+        Returns the table in force.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._metrics = metrics
 
     def terms(self, tenant: str) -> RateTerms | None:
-        """Return what may be granted of a tenant's rate; None where it has none."""
+        """Return how a tenant's rate may be granted; None if it has no rate."""
         row = self._row(tenant)
         if row is None or row.rate_per_second is None:
             return None
@@ -59,26 +59,26 @@
         return table.tenant_index.by_name.get(tenant) if table is not None else None
 
     async def admit(self, tenant: str, request: str, seconds: float) -> Failure | None:
-        """Count a request against its tenant's rate; a failure where it must not run now.
+        """Count a request against its tenant's rate; return a failure if it must not run now.
 
         Parameters
         ----------
         seconds
-            What the request has left.
+            Remaining time of the request.
         """
         terms = self.terms(tenant) if tenant else None
         if terms is None:
             return None
         held = self._shares.held(subject_of(tenant), terms)
         began = clock.monotonic()
-        until = began + min(WAIT_SECONDS, seconds * PART_OF_DEADLINE)
+        until = began + min(WAIT_SECONDS, seconds * MAX_WAIT_SHARE)
         if await self._shares.admit(held, until):
             self._metrics.rate_admitted += 1
             return None
         return self._refuse(tenant, request, held, began)
 
     def _refuse(self, tenant: str, request: str, held: HeldRate, began: float) -> Failure:
-        """Refuse as not run, and say so in the log."""
+        """Reject a request as not run, and log it."""
         now = clock.monotonic()
         is_known = held.was_answered_since(began) or held.usable(now) > 0
         refusal = rate_refusal(
--- a/src/pondtiller/gateway/callers/waiting.py
+++ b/src/pondtiller/gateway/callers/waiting.py
@@ -1,8 +1,8 @@
-"""Requests that wait at a gateway for engines, and how they are woken in turn.
+"""Requests that wait at a gateway for engines, and how they are woken in order.
 
-Owns the lines, one for each service and set of homes. Who may wait, for how long and in which order
-is `routes.live_queue` and `routes.live_attempts.may_wait`; whoever is woken asks for an engine
-itself.
+Holds the queues, one for each service and set of homes. Which requests may wait, for how long and
+in which order is decided in `routes.live_queue` and `routes.live_attempts.may_wait`; a woken
+request looks for an engine itself.
 """
 
 import random
@@ -16,20 +16,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitingLine:
-    """Requests that wait for the engines of a service, in the same homes.
+class WaitingQueue:
+    """Requests that wait for the engines of a service, with the same homes.
 
     Attributes
     ----------
     turn
-        A `curio.Event`, set when the order or an engine's room has changed.
+        A `curio.Event`, set when the order or an engine's capacity has changed.
     """
 
     queue: LiveQueue
     turn: Any
 
-    async def wait_turn(self, ticket: Ticket) -> None:
-        """Wait until the order may have changed; the first looks for itself now and then."""
+    async def wait_for_turn(self, ticket: Ticket) -> None:
+        """Wait until the order may have changed; the first request also checks periodically."""
         self.turn.clear()
         patience = max(0.0, ticket.leave_by - clock.monotonic())
         if self.queue.first is ticket:
@@ -37,22 +37,22 @@
         await curio.ignore_after(patience, self.turn.wait)
 
 
-class WaitingLines:
-    """One line for each service, and for each set of homes, since others may leave earlier."""
+class WaitingQueues:
+    """One queue for each service and set of homes, since other homes may have free engines."""
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
-        self._lines: dict[str, dict[frozenset[str], WaitingLine]] = {}
+        self._lines: dict[str, dict[frozenset[str], WaitingQueue]] = {}
 
-    def of(self, service: str, homes: frozenset[str]) -> WaitingLine:
-        """Return the line that a request waits in."""
+    def of(self, service: str, homes: frozenset[str]) -> WaitingQueue:
+        """Return the queue in which a request waits."""
         lines = self._lines.setdefault(service, {})
         if homes not in lines:
-            lines[homes] = WaitingLine(LiveQueue(self._random), curio.Event())
+            lines[homes] = WaitingQueue(LiveQueue(self._random), curio.Event())
         return lines[homes]
 
-    async def call(self, service: str) -> None:
-        """Let those that wait for a service look again: an engine may have room."""
+    async def wake(self, service: str) -> None:
+        """Wake the requests that wait for a service: an engine may have a free slot."""
         for line in list(self._lines.get(service, {}).values()):
             if line.queue:
                 await line.turn.set()
--- a/src/pondtiller/gateway/engines/__init__.py
+++ b/src/pondtiller/gateway/engines/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway's connections to engines, and what it knows of them."""
+"""A gateway's connections to engines, and its knowledge about them."""
--- a/src/pondtiller/gateway/engines/cold_sends.py
+++ b/src/pondtiller/gateway/engines/cold_sends.py
@@ -1,7 +1,7 @@
-"""Holds requests back from cold engines, beyond what this gateway's shares allow.
+"""Limits requests to cold engines to this gateway's shares of their rates.
 
-Owns which engines were cold at the last look, for the log. Which engines are cold, and what they
-bear, is `routes.cold`; shares are asked for by `ShareAsker` and granted by the leader.
+Holds which engines were cold at the last check, for the log. Which engines are cold, and at which
+rate, is decided in `routes.cold`; `ShareAsker` requests shares, and the leader grants them.
 """
 
 from pondtiller.coordination.rate_shares import RateTerms
@@ -16,13 +16,13 @@
 """Longest wait for a share: a leader in another region answers within 0.05 s, and a run that is
 silent for 0.7 s is moved."""
 UNKNOWN_TERMS = RateTerms(1_000_000, 1_000_000, LEASE_SECONDS)
-"""Of an engine that this daemon does not know yet: what the leader grants counts."""
+"""Terms for an engine that this daemon does not know yet: only the leader's grant limits it."""
 NAMED_ENGINES = 12
-"""Most engines that one log line names."""
+"""Largest number of engines named in one log line."""
 
 
 class ColdSends:
-    """What one daemon sends to cold engines."""
+    """Requests of one daemon to cold engines."""
 
     def __init__(self, cold: ColdEngines, shares: ShareAsker, metrics: GatewayMetrics) -> None:
         self._cold = cold
@@ -31,7 +31,7 @@
         self._known: frozenset[str] = frozenset()
 
     def rule(self, engine: Engine, now: float) -> BlockReason | None:
-        """Count a request that is about to leave; the last rule of the gate."""
+        """Count a request that is about to be sent to a cold engine; the last rule of the gate."""
         return self._take(engine.identifier, now) if self._cold.is_cold(engine, now) else None
 
     def unknown_rule(self, identifier: str, now: float) -> BlockReason | None:
@@ -45,12 +45,12 @@
         self._metrics.held_cold += 1
         return BlockReason.COLD
 
-    def told(self, identifier: str) -> None:
-        """Take that the leader takes an engine for cold."""
+    def note_cold_report(self, identifier: str) -> None:
+        """Record that the leader reports an engine as cold."""
         self._cold.note_cold_report(identifier, clock.monotonic())
 
     async def prepare(self, identifier: str, deadline: float) -> None:
-        """Wait a moment for a share where an engine is cold; the gate decides afterwards."""
+        """Wait a moment for a share if an engine is cold; the gate decides afterwards."""
         now = clock.monotonic()
         if self._cold.is_cold_name(identifier, now):
             until = min(deadline, now + WAIT_SECONDS)
@@ -58,7 +58,7 @@
             await self._shares.wait(subject_of(identifier), terms, until)
 
     def preferred(self, engines: list[Engine], now: float) -> list[Engine]:
-        """Return the warm engines; where there are none, cold ones that may get something now."""
+        """Return the warm engines; if there are none, cold ones that may get a request now."""
         warm = [each for each in engines if not self._cold.is_cold(each, now)]
         if warm or not engines:
             return warm
@@ -68,15 +68,15 @@
         return ready or engines
 
     def is_cold(self, engine: Engine, now: float) -> bool:
-        """Return whether an engine is slow since it started, as far as is known."""
+        """Return whether an engine is still slow after its start, as far as is known."""
         return self._cold.is_cold(engine, now)
 
     def terms(self, identifier: str) -> RateTerms | None:
-        """Return what a leader may grant of an engine's rate; None where it knows no such rate."""
+        """Return how much of an engine's rate a leader may grant; None if it knows no such rate."""
         return self._cold.terms(identifier)
 
-    def look(self, now: float) -> None:
-        """Note which engines turned cold or warm: one line at a time for all of them."""
+    def log_changes(self, now: float) -> None:
+        """Log which engines became cold or warm, in one line for all of them."""
         self._cold.drop_expired(now)
         known = frozenset(each.identifier for each in self._cold.cold_engines(now))
         if known == self._known:
@@ -91,7 +91,7 @@
 
     @property
     def count(self) -> int:
-        """Engines that were cold at the last look."""
+        """Number of engines that were cold at the last check."""
         return len(self._known)
 
 
--- a/src/pondtiller/gateway/engines/engine_ends.py
+++ b/src/pondtiller/gateway/engines/engine_ends.py
@@ -1,10 +1,10 @@
-"""Tells an engine that has ended from a connection that broke off alone.
+"""Distinguishes an engine that has ended from a broken connection.
 
-A reset connection, a lost answer and an engine that ended look alike to the request that waited
-there. The engine's port tells them apart: it refuses once nothing listens there.
+A reset connection, a lost answer and an ended engine look the same to the request that waits. The
+engine's port tells them apart: it refuses connections once nothing listens there.
 
-Owns which engines ended within the last second. Does not say what becomes of the request that broke
-off: `routes.live_attempts` does.
+Holds which engines ended within the last second. What happens to the request is decided in
+`routes.live_attempts`.
 """
 
 from typing import NamedTuple
@@ -24,15 +24,15 @@
 from pondtiller.routes.engines import EngineDirectory
 from pondtiller.routes.quarantine import abbreviate_content
 
-ASK_SECONDS = 0.15
-"""How long a port is asked: a refusal takes one way there and back, 0.04 s between regions. A
-request waits so long for its next attempt at most."""
-KNOWN_SECONDS = 1.0
-"""How long an answer of a port holds for the other requests that broke off there with it. An engine
-that ended takes longer to start again."""
+PORT_CHECK_SECONDS = 0.15
+"""Time limit of a connection attempt to the port: a refusal takes one round trip, 0.04 s between
+regions. It delays a request's next attempt by this much at most."""
+ENDED_CACHE_SECONDS = 1.0
+"""How long a refusal of the port is reused for other requests that broke off there. An engine that
+ended takes longer to restart."""
 RECHECK_SECONDS = 0.1
-"""From an answer of the port until it is looked at again: a program may close its connections some
-time before it ends. The request's next attempt does not wait for it."""
+"""Delay until a port that accepted a connection is checked again: a program may close its
+connections some time before it ends. The request's next attempt does not wait for this."""
 
 
 class BrokenOff(NamedTuple):
@@ -41,7 +41,7 @@
     Attributes
     ----------
     is_planned
-        Whether the engine was to leave, so that its end is nobody's fault.
+        Whether the engine was leaving, so that its end is not a crash.
     """
 
     engine: str
@@ -52,14 +52,14 @@
 
 
 class EngineEnds:
-    """Asks the ports of engines at which requests broke off.
+    """Checks the ports of engines at which requests broke off.
 
     Parameters
     ----------
     pool
-        Keeps the connection of an engine that still listens, for a request to come.
+        Keeps the connection to an engine that still listens, for a later request.
     suspects
-        Told of contents under which an engine ended.
+        Records contents under which an engine crashed.
     """
 
     def __init__(
@@ -76,31 +76,31 @@
         self._ended_at: dict[str, float] = {}
 
     async def confirm(self, engine: str, address: Address, request: str, content: str) -> bool:
-        """Return whether an engine has ended, after a request broke off there.
+        """Return whether an engine has crashed, after a request broke off there.
 
-        One that was leaving, or whose entry had gone, ends as planned, and is not counted. One that
-        closes a connection some time before its port counts once that refuses too.
+        An engine that was leaving, or whose entry was removed, ends as planned and does not count.
+        One that closes a connection some time before its port counts once the port refuses too.
         """
         known = self._engines.engines.get(engine)
-        # One that is not known here yet is known to the leader that sent a run there, and has just
-        # started: its end counts.
+        # An engine unknown here has just started and is known to the leader that sent a run there:
+        # its crash counts.
         has_gone = known is not None and known.gone_at is not None
         is_planned = has_gone or self._engines.has_left(engine, clock.monotonic())
         broken = BrokenOff(engine, address, request, content, is_planned)
         connection = await self._ask(engine, address)
         if connection is not None:
-            await curio.spawn(self._look_again, broken, connection, daemon=True)
+            await curio.spawn(self._check_again, broken, connection, daemon=True)
         return await self._note(broken, self._has_ended(engine))
 
-    async def outlasts(self, engine: str, until: float) -> bool:
-        """Return whether a start of an engine goes on until a time, by a connection that lasts.
+    async def still_runs_at(self, engine: str, until: float) -> bool:
+        """Return whether an engine's incarnation runs until a time, by a connection that lasts.
 
-        Its port alone does not tell: the next start may listen there a moment later.
+        The port alone is not sufficient: the next incarnation may listen there a moment later.
 
         Parameters
         ----------
         until
-            On the steady clock.
+            Monotonic time.
         """
         known = self._engines.engines.get(engine)
         if known is None:
@@ -115,8 +115,8 @@
         await self._pool.give_back_unused(connection)
         return True
 
-    async def _look_again(self, broken: BrokenOff, connection: EngineConnection) -> None:
-        """Keep a connection that lasts; ask the port again where it does not."""
+    async def _check_again(self, broken: BrokenOff, connection: EngineConnection) -> None:
+        """Keep a connection that lasts; check the port again if it does not."""
         await curio.sleep(RECHECK_SECONDS)
         if connection.is_clean():
             await self._pool.give_back_unused(connection)
@@ -146,12 +146,12 @@
         return True
 
     async def _ask(self, engine: str, address: Address) -> EngineConnection | None:
-        """Return a connection to an engine; None where its port refuses or is silent."""
+        """Return a connection to an engine; None if its port refuses or does not respond."""
         self._forget(clock.monotonic())
         if self._has_ended(engine):
             return None
         try:
-            return await self._pool.open(engine, address, ASK_SECONDS)
+            return await self._pool.open(engine, address, PORT_CHECK_SECONDS)
         except SilentEngineError:
             return None
         except NotSentError:
@@ -162,5 +162,7 @@
         return engine in self._ended_at
 
     def _forget(self, now: float) -> None:
-        for engine in [each for each, at in self._ended_at.items() if now > at + KNOWN_SECONDS]:
+        for engine in [
+            each for each, at in self._ended_at.items() if now > at + ENDED_CACHE_SECONDS
+        ]:
             del self._ended_at[engine]
--- a/src/pondtiller/gateway/engines/engine_pool.py
+++ b/src/pondtiller/gateway/engines/engine_pool.py
@@ -1,10 +1,10 @@
-"""Connections to engines: kept while they are clean, and read with suspicion.
+"""Connections to engines, kept while they can be reused; answers are checked strictly.
 
-An engine may send an answer late, twice, or for another request. An answer counts only if it
-names the request; a connection with bytes that belong to nobody is closed.
+An engine may send an answer late, twice, or for another request. An answer counts only if it names
+the request; a connection with unexpected bytes is closed.
 
-Owns the kept connections of this process. Does not decide whether a request may leave (`SendGate`
-does, asked here once the connection is open), nor retry.
+Holds the kept connections of this process. Does not decide whether a request may be sent
+(`SendGate`, checked once the connection is open), and does not retry.
 """
 
 import re
@@ -24,27 +24,25 @@
 from pondtiller.routes.send_gate import BlockReason
 
 CONNECT_SECONDS = 0.5
-"""Longest wait for a connection to an engine, in seconds in which this process runs. Bounds what an
-engine that is cut off takes from a request that has another engine left; the way there and back
-between regions takes 0.04 s.
+"""Time limit of a connection attempt, in running time of this process. Limits what an unreachable
+engine costs a request that has another engine left; a round trip between regions takes 0.04 s.
 """
 IDLE_SECONDS = 20.0
-"""How long an unused connection is kept where the engine's answers do not say. Chosen, not
-measured: an engine that closed it earlier is found out by `is_clean` before the next use.
+"""How long an unused connection is kept if the engine's answers do not state a limit. One that the
+engine closed earlier is detected by `is_clean` before the next use.
 """
 IDLE_MARGIN_SECONDS = 0.4
-"""Before an engine's own limit, a connection is used no more. Chosen, not measured: a request that
-leaves as the engine closes would break off, and may not be repeated; the way between regions takes
-0.02 s.
+"""A connection is not used any more this long before the engine's own limit. A request sent while
+the engine closes the connection would break off, and may not be repeatable; one way between regions
+takes 0.02 s.
 """
-MOST_STRAY_ANSWERS = 4
-"""Answers of other requests, and interim heads, that are read over before the request's own.
-Chosen, not measured: a connection with more is not worth its reading, and is closed.
+MAX_STRAY_ANSWERS = 4
+"""Answers to other requests, and interim heads, that are skipped before the request's own; a
+connection with more of them is closed.
 """
 KEPT_CONNECTIONS = 16
-"""Unused connections kept to one engine. Chosen, not measured: an engine accepts a hundred from all
-gateways together where its row does not say otherwise; more than so many are closed after use and
-cost a new one when they are needed.
+"""Unused connections kept to one engine. An engine accepts 100 from all gateways together unless
+its row says otherwise; further ones are closed after use and opened again when needed.
 """
 
 
@@ -57,7 +55,7 @@
 
 
 class EngineConnection(ClientConnection):
-    """One connection to one start of an engine."""
+    """Connection to one incarnation of an engine."""
 
     def __init__(self, engine: str, address: Address, stream: Any) -> None:
         super().__init__(address, stream)
@@ -66,7 +64,7 @@
 
     async def read_answer(self, request: str) -> AnswerHead:
         """Read the head of the answer that names a request; raises `BrokenError`."""
-        for _ in range(MOST_STRAY_ANSWERS):
+        for _ in range(MAX_STRAY_ANSWERS):
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
@@ -82,7 +80,7 @@
         raise BrokenError("answers of other requests")
 
     def prepare_reuse(self) -> bool:
-        """Return whether another request may be sent; a connection with a rest may not."""
+        """Return whether another request may be sent; not if bytes are left on the connection."""
         protocol = self._protocol
         if protocol.our_state is not h11.DONE or protocol.their_state is not h11.DONE:
             return False
@@ -92,7 +90,7 @@
         return clock.monotonic() < self.usable_until
 
     def is_clean(self) -> bool:
-        """Return whether a kept connection is open and silent."""
+        """Return whether a kept connection is open without unexpected bytes."""
         if clock.monotonic() >= self.usable_until:
             return False
         try:
@@ -125,11 +123,11 @@
 
 
 class SilentEngineError(NotSentError):
-    """An engine, or all that lies on the way to it, did not answer within the time to connect."""
+    """An engine, or the network to it, did not respond within the connection time limit."""
 
 
-class HeldBackError(NotSentError):
-    """A request must not leave for an engine now; the engine did not fail."""
+class SendBlockedError(NotSentError):
+    """A request must not be sent to an engine now; the engine did not fail."""
 
     def __init__(self, reason: BlockReason) -> None:
         super().__init__(f"held({reason.value})")
@@ -142,7 +140,7 @@
     Parameters
     ----------
     stalls
-        Knows how long this process was paused, which is no silence of an engine.
+        Measures pauses of this process, which do not count as silence of an engine.
 
     Attributes
     ----------
@@ -156,7 +154,7 @@
         self._kept: dict[str, list[EngineConnection]] = {}
 
     def has_kept(self, engine: str) -> bool:
-        """Return whether a connection is at hand."""
+        """Return whether a connection is kept."""
         return bool(self._kept.get(engine))
 
     async def take(self, engine: str, address: Address) -> EngineConnection:
@@ -177,7 +175,7 @@
         Parameters
         ----------
         seconds
-            Longest wait, in which this process runs.
+            Time limit, in running time of this process.
         """
         try:
             stream = await self._stalls.call(
@@ -192,7 +190,7 @@
         return EngineConnection(engine, address, stream)
 
     async def give_back(self, connection: EngineConnection) -> None:
-        """Keep a connection whose answer was read whole, where it may be used again."""
+        """Keep a connection whose answer was read completely, if it can be reused."""
         kept = self._kept.setdefault(connection.engine, [])
         if len(kept) < KEPT_CONNECTIONS and connection.prepare_reuse():
             kept.append(connection)
@@ -208,7 +206,7 @@
             await connection.close()
 
     async def forget(self, engines: set[str]) -> None:
-        """Close the kept connections of engines that are not among those given."""
+        """Close the kept connections of all engines except those given."""
         for engine in [each for each in self._kept if each not in engines]:
             for connection in self._kept.pop(engine):
                 await connection.close()
--- a/src/pondtiller/gateway/engines/orders.py
+++ b/src/pondtiller/gateway/engines/orders.py
@@ -1,7 +1,7 @@
-"""Orders to engines, and their own reports.
+"""Orders to engines, and their reports.
 
-Owns nothing. Does not decide what is ordered (`rollouts.versions`) nor whether this gateway may
-order (`gateway.leader.order_rights`); an order whose outcome is not known is never repeated here.
+Stateless. Does not decide what is ordered (`rollouts.versions`) or whether this gateway may order
+(`gateway.leader.order_rights`). An order with an unknown outcome is never repeated here.
 """
 
 from collections.abc import Callable
@@ -14,22 +14,21 @@
 from pondtiller.routes.engines import EngineDirectory
 
 ORDER_SECONDS = 0.7
-"""Longest wait for an engine's answer to an order; part of the time after which an order may no
-longer arrive, so a longer one delays a new leader's first orders. Chosen, not measured.
+"""Time limit of an engine's answer to an order. Part of the time after which an order can no longer
+arrive, so a higher value delays a new leader's first orders.
 """
 REPORT_SECONDS = 0.5
-"""Longest wait for an engine's report. Chosen, not measured: a report that does not come counts as
-none: what was known of the engine stays.
+"""Time limit of an engine's report; without one, the previous information about the engine stays.
 """
 
 
 class EngineOrders:
-    """Calls engines as the steward decides.
+    """Calls engines for the steward.
 
     Parameters
     ----------
     holder
-        Name of this machine, which orders carry.
+        Name of this machine, which is included in orders.
     """
 
     def __init__(self, holder: str, engines: EngineDirectory, client: HttpClient) -> None:
@@ -40,12 +39,12 @@
     async def order(
         self, order: OrderVersion, fence: int, may_send: Callable[[], bool]
     ) -> bool | None:
-        """Give an order; None where it is not known whether the engine took it.
+        """Send an order; return None if it is unknown whether the engine accepted it.
 
         Parameters
         ----------
         may_send
-            Asked right before it leaves.
+            Checked right before the order is sent.
         """
         engine = self._engines.engines.get(order.engine)
         if engine is None:
@@ -84,7 +83,7 @@
         report = engine_orders.engine_report(answer.body) if answer.status == 200 else None
         logs.decision("engine_report", engine=identifier, status=answer.status, report=report)
         if report is not None and report.started_ms not in (0, engine.entry.started_ms):
-            # Another start answers at the same place: its count of orders is not this one's.
+            # Another incarnation answers at this address; its order count is not this one's.
             return None
         return report
 
--- a/src/pondtiller/gateway/engines/suspect_sharing.py
+++ b/src/pondtiller/gateway/engines/suspect_sharing.py
@@ -1,11 +1,11 @@
-"""Shares what is known of contents that end engines, through the platform's store.
+"""Shares information about contents that crash engines through the platform's store.
 
 Each content has one object, which any gateway may write under its revision. A gateway that starts
-learns of all contents from there, so that none of them has to end engines again to be known.
-While the store does not answer, what was known stays in force, and news wait.
+reads all contents from there, so that they need not crash engines again to be known. While the
+store does not answer, the known state stays in force and updates wait.
 
-Owns what is still to be removed from the store. Relies on `SuspectContents` for what is known here
-and what is to be told. Does not judge when a content is held back: `routes.quarantine` does.
+Holds what is still to be removed from the store. Relies on `SuspectContents` for what is known here
+and what is to be shared. When a content is quarantined is decided in `routes.quarantine`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -24,7 +24,7 @@
 from pondtiller.process import clock, logs
 from pondtiller.routes.quarantine import Suspect, abbreviate_content
 from pondtiller.store.store_watch import (
-    LONGEST_RETRY_SECONDS,
+    MAX_RETRY_SECONDS,
     RETRY_SECONDS,
     StoreHealth,
     StoreReader,
@@ -32,31 +32,32 @@
 )
 
 PAUSE_SECONDS = 0.1
-"""Between two writes of one gateway: ten a second, of the 400 that the platform's smallest store
-grants to all daemons together."""
-MOST_WRITES = 4
-"""Writes of one content before others have their turn: another gateway wrote it meanwhile."""
+"""Pause between two writes of one gateway: at most ten a second, of the 400 that the platform's
+smallest store allows to all daemons together."""
+MAX_WRITES = 4
+"""Attempts to write one content, if other gateways write it at the same time, before others are
+written."""
 CLEARED_SECONDS = 60.0
-"""How long the object of a content stays that was answered: gateways that were cut off meanwhile
-learn from its listing that it is gone, the others from the change itself."""
+"""How long the object of an answered content is kept: gateways that were disconnected meanwhile
+learn from the listing that it is removed, the others from the change itself."""
 TRIAL_RETRY_SECONDS = 2.0
-"""Between two calls to the store for a content's trial: its requests may come many times a second,
-and each would ask while the store does not answer."""
-TRIAL_LOOK_SECONDS = 0.1
-"""Between two looks at whether a content's trial is due, each of which compares it with all others
-and goes through the engines of its service."""
+"""Pause between two calls to the store for a content's trial: its requests may arrive many times a
+second, and each would call the store while it does not answer."""
+TRIAL_CHECK_SECONDS = 0.1
+"""Interval of the check whether a content's trial is due, which compares the content with all
+others and goes through the engines of its service."""
 REMOVE_SECONDS = 60.0
-"""Between two looks of a leader for objects that are out of date."""
+"""Interval at which a leader removes outdated objects."""
 
 
 class SuspectStore(Protocol):
-    """The calls to the store that sharing makes."""
+    """Store calls needed for sharing."""
 
     async def read(self, kind: str, name: str) -> StoreObject | None:
-        """Return one object, or None where there is none; raises `StoreCallError`."""
+        """Return one object, or None if there is none; raises `StoreCallError`."""
 
     async def create(self, kind: str, name: str, spec: Any) -> PutOutcome:
-        """Make an object; a conflict where it is there. Raises `StoreCallError`."""
+        """Create an object; a conflict if it exists. Raises `StoreCallError`."""
 
     async def replace(self, kind: str, name: str, revision: int, spec: Any) -> PutOutcome:
         """Replace an object's spec at a revision; raises `StoreCallError`."""
@@ -66,16 +67,16 @@
 
 
 class SuspectSharing:
-    """Tells others of contents, and takes what they tell.
+    """Sends reports about contents to other gateways, and applies theirs.
 
     Parameters
     ----------
     reader
         The store as this gateway reads it.
     changed
-        Called when a content is held back, or no longer is.
+        Called when a quarantine starts or ends.
     is_leading
-        Returns whether this gateway removes what is out of date.
+        Returns whether this gateway removes outdated objects.
     longest_retry
         As for the other watches.
     """
@@ -106,17 +107,17 @@
             longest_retry=longest_retry,
         )
 
-    # What others tell
+    # Reports from other gateways
 
     async def _replace(self, found: tuple[StoreObject, ...]) -> None:
-        """Take all contents; one that is not listed was removed, unless it waits to be shared."""
+        """Apply the whole listing; a content that is missing was removed, unless it is unshared."""
         listed = {each.name for each in found}
         self._kept_until.clear()
         for content in list(self._suspects.quarantine.suspects):
-            if content not in listed and content not in self._suspects.untold:
+            if content not in listed and content not in self._suspects.unshared:
                 self._suspects.quarantine.forget(content)
         for each in found:
-            await self._take(each)
+            await self._apply(each)
         await self._changed()
 
     async def _change(self, change: StoreChange) -> None:
@@ -124,19 +125,19 @@
             self._kept_until.pop(change.object.name, None)
             self._suspects.quarantine.forget(change.object.name)
         else:
-            await self._take(change.object)
+            await self._apply(change.object)
         await self._changed()
 
-    async def _take(self, found: StoreObject) -> None:
+    async def _apply(self, found: StoreObject) -> None:
         told = objects.read_suspect(found)
         if told is None:
-            # Left as it is: a later version of this program may have written it.
+            # Left unchanged: a later version of this program may have written it.
             logs.decision("suspect_unreadable", name=found.name, revision=found.revision)
             return
         self._kept_until[told.content] = told.until
         if not told.ends:
-            self._suspects.untold.pop(told.content, None)
-        if clock.wall() >= told.until or not await self._suspects.take(told):
+            self._suspects.unshared.pop(told.content, None)
+        if clock.wall() >= told.until or not await self._suspects.merge_report(told):
             return
         logs.decision(
             "content_told",
@@ -149,19 +150,19 @@
     # Trials
 
     async def take_trial(self, content: str, has_spare: Callable[[], bool] = no_spare) -> bool:
-        """Return whether this gateway takes a held content's next trial, which is then counted.
+        """Return whether this gateway takes a quarantined content's next trial, which then counts.
 
         Parameters
         ----------
         has_spare
-            Returns whether the content's service keeps another engine if the trial ends one.
+            Returns whether the content's service keeps another engine if the trial crashes one.
         """
         now = clock.monotonic()
         if now < self._no_trial_before.get(content, 0.0):
             return False
         is_spare = has_spare()
         if not self._suspects.quarantine.is_trial_due(content, clock.wall(), is_spare):
-            self._no_trial_before[content] = now + TRIAL_LOOK_SECONDS
+            self._no_trial_before[content] = now + TRIAL_CHECK_SECONDS
             return False
         self._no_trial_before[content] = now + TRIAL_RETRY_SECONDS
         try:
@@ -171,7 +172,7 @@
             return False
 
     async def _write_trial(self, content: str, has_spare: bool) -> bool:
-        """Count a trial in the content's object; False where another gateway did so first."""
+        """Count a trial in the content's object; False if another gateway did so first."""
         quarantine = self._suspects.quarantine
 
         def count(known: Suspect) -> Suspect | None:
@@ -191,13 +192,13 @@
         )
         return True
 
-    async def give_trial_back(self, content: str) -> None:
-        """Let a trial that told nothing of its content count no longer.
+    async def return_trial(self, content: str) -> None:
+        """Exclude an inconclusive trial from the count.
 
-        Where the store does not take that, the trial stays used up.
+        If the store does not accept this, the trial stays counted.
         """
         try:
-            for _ in range(MOST_WRITES):
+            for _ in range(MAX_WRITES):
                 if await self._update(content, Suspect.with_inconclusive_trial):
                     return
             reason = "it was cleared, or others wrote it each time first"
@@ -206,19 +207,19 @@
         logs.decision("content_untold", content=abbreviate_content(content), reason=reason)
 
     async def _update(self, content: str, change: Callable[[Suspect], Suspect | None]) -> bool:
-        """Change what the store holds of a content; False where it did not take the change.
+        """Change a content's object in the store; return False if the change was not accepted.
 
         Parameters
         ----------
         change
-            Returns the content with its change, from all that is known of it; None for no change.
+            Returns the changed content from all that is known of it; None for no change.
         """
         found = await self._store.read(names.SUSPECTS, content)
         told = objects.read_suspect(found) if found is not None else None
         if found is None or told is None or not told.ends:
             return False
-        if not self._suspects.is_held(content):
-            # An engine answered it here meanwhile: what the store holds is out of date.
+        if not self._suspects.is_quarantined(content):
+            # An engine has answered it here meanwhile, so the stored object is outdated.
             return False
         self._suspects.quarantine.merge_report(told)
         changed = change(self._suspects.quarantine.suspects[content])
@@ -231,34 +232,34 @@
             self._suspects.quarantine.merge_report(changed)
         return outcome is PutOutcome.DONE
 
-    # What others are told
+    # Reports to other gateways
 
     async def run(self) -> None:
-        """Tell what is new, until cancelled."""
+        """Share reports until cancelled."""
         remove_at = clock.monotonic() + REMOVE_SECONDS
         while True:
             wait = min(self._next_due(), remove_at) - clock.monotonic()
-            self._suspects.has_news.clear()
-            await curio.ignore_after(max(0.0, wait), self._suspects.has_news.wait)
+            self._suspects.has_unshared.clear()
+            await curio.ignore_after(max(0.0, wait), self._suspects.has_unshared.wait)
             if clock.monotonic() >= remove_at:
                 remove_at = clock.monotonic() + REMOVE_SECONDS
                 await self._remove_old()
-            content = self._due_content()
+            content = self._next_content()
             if content is not None:
-                await self._tell(content)
+                await self._share(content)
 
     def _next_due(self) -> float:
-        return min(self._suspects.untold.values(), default=float("inf"))
+        return min(self._suspects.unshared.values(), default=float("inf"))
 
-    def _due_content(self) -> str | None:
-        """Return the content to tell now: the one with the most ends first."""
+    def _next_content(self) -> str | None:
+        """Return the next content to share: the one with the most crashes first."""
         now = clock.monotonic()
-        due = [each for each, by in self._suspects.untold.items() if now >= by]
+        due = [each for each, by in self._suspects.unshared.items() if now >= by]
         return max(due, key=self._suspects.quarantine.crash_count, default=None)
 
-    async def _tell(self, content: str) -> None:
-        # What comes while this is written is told anew.
-        self._suspects.untold.pop(content, None)
+    async def _share(self, content: str) -> None:
+        # Removed first, so that a change during the write is shared again.
+        self._suspects.unshared.pop(content, None)
         try:
             is_told = await self._write(content)
         except StoreCallError as error:
@@ -269,13 +270,13 @@
             self._retry_seconds = RETRY_SECONDS
         else:
             pause = self._retry_seconds
-            self._retry_seconds = min(2 * pause, LONGEST_RETRY_SECONDS)
-            self._suspects.untold.setdefault(content, clock.monotonic())
+            self._retry_seconds = min(2 * pause, MAX_RETRY_SECONDS)
+            self._suspects.unshared.setdefault(content, clock.monotonic())
         await curio.sleep(pause)
 
     async def _write(self, content: str) -> bool:
-        """Write a content's object; False where others wrote it each time first."""
-        for _ in range(MOST_WRITES):
+        """Write a content's object; return False if other gateways were faster each time."""
+        for _ in range(MAX_WRITES):
             known = self._suspects.quarantine.suspects.get(content)
             if known is not None:
                 spec = objects.suspect_spec(known)
@@ -289,7 +290,7 @@
         return False
 
     async def _renew(self, found: StoreObject) -> bool:
-        """Replace an object by what is known here and there; without ends where it was answered."""
+        """Merge the known state into an object; without crashes if the content was answered."""
         told = objects.read_suspect(found)
         quarantine = self._suspects.quarantine
         if told is not None and told.ends and found.name in quarantine.suspects:
@@ -304,7 +305,7 @@
         return outcome is PutOutcome.DONE
 
     async def _remove_old(self) -> None:
-        """Remove objects whose ends count no longer, where this gateway leads."""
+        """Remove objects whose crashes no longer count, if this gateway is the leader."""
         now = clock.wall()
         quarantine = self._suspects.quarantine
         quarantine.drop_expired(now)
@@ -316,6 +317,6 @@
             try:
                 await self._store.remove(names.SUSPECTS, name)
             except StoreCallError:
-                # The next look comes to it again.
+                # Retried at the next interval.
                 return
             await curio.sleep(PAUSE_SECONDS)
--- a/src/pondtiller/gateway/engines/zone_reach.py
+++ b/src/pondtiller/gateway/engines/zone_reach.py
@@ -1,7 +1,7 @@
-"""Tells which zones this gateway can reach, by what its attempts met there.
+"""Reports which zones respond, from the outcomes of this gateway's attempts.
 
-Keeps no state of its own: `SilentZones` does, for the choice of engines. Says in the log when a
-zone falls silent and when it is heard again.
+`SilentZones` keeps the state for the choice of engines. Logs when a zone stops responding and when
+it responds again.
 """
 
 from pondtiller.gateway.engines.engine_pool import SilentEngineError
@@ -11,34 +11,34 @@
 from pondtiller.routes.silent_zones import SilentZones
 
 SILENT_ANSWER_SECONDS = 0.5
-"""An engine that was left, or broke off, without a word for as long as a connection may take, on
-one that was kept: its zone may be cut off."""
+"""An engine that gave no answer on a kept connection for as long as a connection attempt may take,
+until the attempt was cancelled or broke off: its zone may be unreachable."""
 
 
 class ZoneReach:
-    """Takes what attempts met."""
+    """Evaluates the outcomes of attempts."""
 
     def __init__(self, silent_zones: SilentZones) -> None:
         self._silent_zones = silent_zones
 
     def note_unreachable(self, engine: Engine, error: NotSentError) -> None:
-        """Take that an engine could not be connected to: others of its zone may be cut off too."""
+        """Record that a connection to an engine failed: others of its zone may be unreachable."""
         if isinstance(error, SilentEngineError):
             self._note_silent(engine)
 
     def note_unanswered(self, engine: Engine, seconds: float) -> None:
-        """Take that an attempt ended without a word of the engine, which got it.
+        """Record that an attempt ended without an answer of the engine, which received it.
 
         Parameters
         ----------
         seconds
-            Since its connection was asked for, less those in which this process stood still.
+            Time since its connection was requested, without pauses of this process.
         """
         if seconds >= SILENT_ANSWER_SECONDS:
             self._note_silent(engine)
 
-    def note_heard(self, engine: Engine) -> None:
-        """Take that an engine answered: its zone can be reached."""
+    def note_answer(self, engine: Engine) -> None:
+        """Record that an engine answered: its zone can be reached."""
         if self._silent_zones.note_answer(engine.entry.zone):
             logs.decision("zone_heard", zone=engine.entry.zone, engine=engine.identifier)
 
--- a/src/pondtiller/gateway/housekeeping.py
+++ b/src/pondtiller/gateway/housekeeping.py
@@ -1,7 +1,7 @@
-"""What a gateway looks after at intervals: replicas to find, engines that are gone, a stale table.
+"""Periodic tasks of a gateway: discovery of replicas, removal of gone engines, stale table.
 
-Owns no state but its next search. Relies on the store to find replicas; a gateway that hears one
-replica learns of the others from it.
+Holds only the time of the next search. Relies on the store to discover replicas; a gateway that is
+connected to one replica learns of the others from it.
 """
 
 import curio
@@ -12,27 +12,27 @@
 from pondtiller.process import clock
 
 HOUSEKEEPING_SECONDS = 0.5
-"""Between two looks. Chosen, not measured: connections to an engine that is gone are kept for so
-much longer at most; nothing is sent on them, since the engine is not chosen any more."""
+"""Interval of the periodic tasks. Connections to an engine that is gone are kept at most this much
+longer; nothing is sent on them, since the engine is not chosen any more."""
 NO_REPLICA_SECONDS = 2.5
-"""How long no replica must have been heard before the store is asked where they are: as long as a
-silent link is kept (`peers.replicas.SILENT_SECONDS`). Chosen, not measured."""
+"""How long no message of any replica must have arrived before the store is searched for replicas:
+as long as a silent link is kept (`peers.replicas.SILENT_SECONDS`)."""
 SEARCH_SECONDS = 1.0
-"""Between the first two searches for replicas. Chosen, not measured: a system that starts finds the
-later ones of its replicas so."""
-LONGEST_SEARCH_SECONDS = 4.0
-"""Searches are calls to the store; one that finds nothing new is repeated later each time. With 1 s
-throughout, searches were 294 of the 4,032 calls of a played day."""
+"""Interval between the first two searches for replicas, which finds those that start later together
+with the system."""
+MAX_SEARCH_SECONDS = 4.0
+"""Upper bound of the growing interval between searches, each of which is a call to the store. With
+1 s throughout, searches were 294 of 4,032 calls in a day."""
 
 
 class Housekeeping:
-    """Finds replicas when none is heard, forgets engines that are gone."""
+    """Discovers replicas while none responds, and forgets engines that are gone."""
 
     def __init__(self, parts: GatewayParts) -> None:
         self._parts = parts
 
     async def run(self) -> None:
-        """Look after both until cancelled."""
+        """Run the periodic tasks until cancelled."""
         parts = self._parts
         next_search, pause = 0.0, SEARCH_SECONDS
         while True:
@@ -41,22 +41,22 @@
                 pause = SEARCH_SECONDS
             elif now >= next_search:
                 next_search = now + pause
-                pause = min(2 * pause, LONGEST_SEARCH_SECONDS)
+                pause = min(2 * pause, MAX_SEARCH_SECONDS)
                 await self._find_replicas()
-            parts.leadership.may_stand = parts.is_ready()
+            parts.leadership.may_campaign = parts.is_ready()
             parts.engines.drop_expired(now)
-            parts.cold.look(now)
+            parts.cold.log_changes(now)
             parts.stale_configuration.look()
             await parts.pool.forget(set(parts.engines.engines))
             await curio.sleep(HOUSEKEEPING_SECONDS)
 
     def _lacks_replicas(self, now: float) -> bool:
-        """Return whether to look for replicas: none is heard, or too few for a first group.
+        """Return whether to search: no replica responds, or too few exist for a first group.
 
-        Once there is a group, one replica that is heard names the others.
+        Once there is a group, one replica that responds names the others.
         """
         replicas = self._parts.leadership.replicas
-        if now > replicas.last_heard() + NO_REPLICA_SECONDS:
+        if now > replicas.last_event_at() + NO_REPLICA_SECONDS:
             return True
         views = replicas.views()
         has_group = any(view.group.generation for view in views)
--- a/src/pondtiller/gateway/leader/__init__.py
+++ b/src/pondtiller/gateway/leader/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway does while it leads: its terms, its log, its work in a term."""
+"""Work of a gateway while it is the leader: its terms, its log, and its tasks in a term."""
--- a/src/pondtiller/gateway/leader/duties.py
+++ b/src/pondtiller/gateway/leader/duties.py
@@ -1,6 +1,6 @@
-"""What a gateway does when it leads, and how its terms begin and end.
+"""Start and end of a leader's terms, and dispatch of calls to the current term.
 
-Owns the present term. Calls are answered only while the lease lasts; the work itself is in
+Holds the current term. Calls are answered only while the lease is valid; the work itself is in
 `term.py`.
 """
 
@@ -11,7 +11,7 @@
 from pondtiller.process import clock
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.steplog.entry import Entry
-from pondtiller.steplog.instructions import StandDown, Won
+from pondtiller.steplog.instructions import ElectionWon, StepDownReason
 from pondtiller.wire.steplog import (
     AskShares,
     EndStep,
@@ -30,31 +30,31 @@
 
 
 class LeaderDuties:
-    """The duties of one term; between terms there is nothing.
+    """Duties of a leader; between terms there is none.
 
     Attributes
     ----------
     term
-        The present term; None while this gateway does not lead.
+        Current term; None while this gateway is not the leader.
     """
 
     def __init__(self, parts: DutyParts) -> None:
         self._parts = parts
         self.term: Term | None = None
 
-    async def begin(self, won: Won) -> None:
-        """Take over: read what earlier leaders left, then serve."""
+    async def begin(self, won: ElectionWon) -> None:
+        """Start a term: restore the state that earlier leaders left, then serve."""
         term = Term(self._parts, won)
         self.term = term
         await term.start()
 
     async def committed(self, key: str) -> None:
-        """Take a write that is done."""
+        """Handle a committed write."""
         if self.term is not None:
             await self.term.committed(key)
 
     def loaded(self, entries: tuple[Entry, ...]) -> None:
-        """Take values of the log that were not needed to begin."""
+        """Add values of the log whose reading was deferred at the start of the term."""
         if self.term is not None:
             self.term.loaded(entries)
 
@@ -64,26 +64,26 @@
         Parameters
         ----------
         reason
-            Why: a `StandDown` where the log ended the term.
+            Why the term ended; a `StepDownReason` if the log ended it.
         """
         term, self.term = self.term, None
         if term is not None:
-            if reason == StandDown.LEASE_ENDED:
+            if reason == StepDownReason.LEASE_ENDED:
                 await term.texts.hand_over()
             await term.stop()
 
     def retiring(self) -> frozenset[str]:
-        """Return the names of replicas that are to be emptied."""
+        """Return the names of the replicas that are to be drained."""
         return self._parts.watches.retiring()
 
     async def answer(self, message: Message) -> Message:
-        """Answer a step call; unavailable where this gateway does not lead."""
+        """Answer a call about steps; as unavailable if this gateway is not the leader."""
         log = self._parts.leadership.log
         if self.term is None or not log.holds_lease(clock.monotonic()):
             return _unavailable(message)
         answer = await self._answer(self.term, message, clock.monotonic())
         if isinstance(message, ReadResults | ReadSample) and not log.holds_lease(clock.monotonic()):
-            # It waited for results, and the lease is over: another leader may have listed more.
+            # The call waited for results; another leader may have listed more since then.
             return _unavailable(message)
         return answer
 
@@ -99,20 +99,20 @@
             case ReadSample():
                 return term.book.sample_body(message.step, message.id)
             case UseTold():
-                return term.take_use(message)
+                return term.record_usage(message)
             case AskShares():
-                return term.rates.take(message, now)
+                return term.rates.answer(message, now)
             case OfferRuns():
-                return await term.offers.take(message)
+                return await term.offers.answer(message)
         return _unavailable(message)
 
     async def engines_changed(self) -> None:
-        """Take a change of the engines or the table."""
+        """Handle a change of the engines or of the table."""
         if self.term is not None:
             await self.term.wake.set()
 
     async def save_progress(self) -> None:
-        """Leave unfinished texts at the replicas, for a successor."""
+        """Save unfinished texts at the replicas for a successor."""
         if self.term is not None:
             await self.term.texts.save(is_last=True)
 
--- a/src/pondtiller/gateway/leader/duty_parts.py
+++ b/src/pondtiller/gateway/leader/duty_parts.py
@@ -1,4 +1,4 @@
-"""What a leader works with in every term; owns nothing, made once when the process starts."""
+"""Dependencies of a leader in all of its terms; created once when the process starts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,31 +21,31 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyParts:
-    """What a leader works with.
+    """Dependencies of a leader.
 
     Attributes
     ----------
     runner
-        Runs samples in this process, where no other gateway is connected.
+        Runs samples in this process while no other gateway is connected.
     stalls
-        Knows how long this process stood still.
+        Measures pauses of this process.
     lease_seconds
-        How long after another leader's last order the first own one may come.
+        Minimum time between another leader's last order and the first own one.
     keep_seconds
         How long a closed step stays readable.
     agreed
-        The time of day on which the machines agree.
+        Wall-clock time agreed between the machines.
     usage, operator
-        What use is to be reported, and to whom; None where none is.
+        What usage is reported and to whom; None if none is reported.
     cold
-        Which engines are cold; None where none ever is.
+        Which engines are cold; None if none ever is.
     find_terms
-        Returns how a rate may be granted, by its subject.
+        Returns how a rate may be granted, by its key.
     scaling
-        By what engines are ordered; None where none are.
-    is_held, ends
-        Whether a sample is held back from engines, and how many engines ended under it, by
-        `quarantine.sample_content`; None where neither is known.
+        Settings for ordering engines; None if no engines are ordered.
+    is_quarantined, crash_count
+        Whether a sample is quarantined, and how many engines crashed under it, by the key of
+        `quarantine.sample_content`; None if there is no quarantine.
     """
 
     leadership: Leadership
@@ -64,5 +64,5 @@
     cold: ColdEngines | None = None
     find_terms: FindTerms = no_terms
     scaling: ScalingSettings | None = None
-    is_held: Callable[[str], bool] | None = None
-    ends: Callable[[str], int] | None = None
+    is_quarantined: Callable[[str], bool] | None = None
+    crash_count: Callable[[str], int] | None = None
--- a/src/pondtiller/gateway/leader/duty_settings.py
+++ b/src/pondtiller/gateway/leader/duty_settings.py
@@ -1,4 +1,4 @@
-"""What a leader does for the operator, by a gateway's settings; owns nothing."""
+"""Derives the leader's duties towards the operator from a gateway's settings."""
 
 from pondtiller.address import to_address
 from pondtiller.gateway.leader.scaling_duty import ScalingSettings
@@ -10,7 +10,7 @@
 
 
 def usage_settings(settings: GatewaySettings) -> UsageSettings | None:
-    """Return what use is to be reported; None where none is."""
+    """Return what usage is to be reported; None if none is."""
     usage, operator = settings.usage, settings.operator
     if not usage.window or not operator.address or not wants_use(operator.duties):
         return None
@@ -18,7 +18,7 @@
 
 
 def scaling_settings(settings: GatewaySettings) -> ScalingSettings | None:
-    """Return by what engines are ordered; None where none are."""
+    """Return the settings for ordering engines; None if no engines are ordered."""
     operator, policy = settings.operator, settings.scaling.policy
     if policy is PolicyName.LEAVE or not operator.address or not wants_scaling(operator.duties):
         return None
@@ -26,7 +26,7 @@
 
 
 def operator_client(settings: GatewaySettings) -> OperatorClient | None:
-    """Return the client of the operator's interface; None where the settings name none."""
+    """Return the client of the operator's API; None if the settings name no address."""
     address = settings.operator.address
     if not address:
         return None
--- a/src/pondtiller/gateway/leader/group_upkeep.py
+++ b/src/pondtiller/gateway/leader/group_maintenance.py
@@ -1,12 +1,12 @@
-"""Keeps the replicas' group whole while this gateway leads: what is missing, what is changed.
+"""Maintenance of the replica group while this gateway is the leader.
 
-Owns since when members are missing, and whether the group bears what it should; both end with the
-process. Which members a group should have is decided in `steplog/group_policy.py`; how a change is
-written, in `steplog/leader.py`.
+Holds since when members are missing, and whether the group tolerates the declared losses; both are
+lost with the process. Which members a group should have is decided in `steplog/group_policy.py`;
+`steplog/leader.py` writes the change.
 """
 
 from pondtiller.process import logs
-from pondtiller.steplog.fault_tolerance import PlaceRules, shortfall
+from pondtiller.steplog.fault_tolerance import GroupRules, shortfall
 from pondtiller.steplog.group_policy import (
     MISSING_SECONDS,
     GroupInputs,
@@ -17,63 +17,63 @@
 from pondtiller.steplog.term_rules import HEARTBEAT_SECONDS
 from pondtiller.wire.steplog import GroupMember
 
-GROUP_LOOK_SECONDS = HEARTBEAT_SECONDS
-"""Between two looks at the group where no replica came or went: what they look for lasts
-`MISSING_SECONDS` or more. A look costs 1.1 ms, a third of what a leader at rest spent where it
-looked ten times a second and more."""
+GROUP_CHECK_SECONDS = HEARTBEAT_SECONDS
+"""Interval of the group check while no replica connects or disconnects; the conditions that it
+detects last `MISSING_SECONDS` or longer. A check takes 1.1 ms; at ten checks a second this was a
+third of an idle leader's processor time."""
 
 
-class GroupUpkeep:
-    """Looks at the group, and has it changed.
+class GroupMaintenance:
+    """Checks the group and initiates changes of its members.
 
     Parameters
     ----------
     wanted_size
-        Replicas that a group should have.
+        Wanted number of replicas in the group.
     rules
-        Which losses the group is to bear, and where zones lie.
+        Losses that the group must tolerate, and the regions of zones.
 
     Attributes
     ----------
     shortfall
-        Members more that the group would need to bear what is declared; 0 while it bears it, and
-        while another gateway leads.
+        Additional members that the group would need to tolerate the declared losses; 0 if it
+        tolerates them, and while another gateway is the leader.
     """
 
-    def __init__(self, log: LeaderLog, wanted_size: int, rules: PlaceRules) -> None:
+    def __init__(self, log: LeaderLog, wanted_size: int, rules: GroupRules) -> None:
         self.shortfall = 0
         self._log = log
         self._wanted_size = wanted_size
         self._rules = rules
         self._missing_since: dict[str, float] = {}
-        self._next_look = 0.0
+        self._next_check = 0.0
 
     def connected(self, member: GroupMember) -> None:
-        """Take that a replica is connected."""
+        """Record that a replica has connected."""
         self._missing_since.pop(member.name, None)
 
-    def look_soon(self) -> None:
-        """Look at the group at the next occasion: something of it has changed."""
-        self._next_look = 0.0
+    def check_soon(self) -> None:
+        """Check the group at the next opportunity, since something about it has changed."""
+        self._next_check = 0.0
 
     def term_ended(self) -> None:
-        """Take that another gateway leads."""
+        """Reset the shortfall, since another gateway is the leader now."""
         self.shortfall = 0
 
     def is_due(self, now: float) -> bool:
-        """Return whether to look at the group now; if so the next look is a while later."""
-        if now < self._next_look:
+        """Return whether the group is to be checked now; if so, the next check is scheduled."""
+        if now < self._next_check:
             return False
-        self._next_look = now + GROUP_LOOK_SECONDS
+        self._next_check = now + GROUP_CHECK_SECONDS
         return True
 
-    def look(self, retiring: frozenset[str], now: float) -> None:
-        """Admit a spare or begin a change of the group, where one is needed.
+    def check(self, retiring: frozenset[str], now: float) -> None:
+        """Admit a spare or start a change of the group if needed.
 
         Parameters
         ----------
         retiring
-            Names of replicas that are to be emptied.
+            Names of the replicas that are to be drained.
         """
         synced = tuple(self._log.synced_members())
         self._note_missing(synced, now)
@@ -101,7 +101,7 @@
                 self._missing_since.setdefault(member.name, now)
 
     def note_shortfall(self, now: float) -> None:
-        """Tell when the members that are not missing begin or cease to bear what is declared."""
+        """Log when the present members start or stop tolerating the declared losses."""
         members, since = self._log.group.members, self._missing_since
         present = [each for each in members if now < since.get(each.name, now) + MISSING_SECONDS]
         lacking = shortfall(present, len(members), self._rules)
--- a/src/pondtiller/gateway/leader/leader_watches.py
+++ b/src/pondtiller/gateway/leader/leader_watches.py
@@ -1,7 +1,7 @@
-"""What a leader follows in the store: named versions, retirements and new replicas.
+"""Store watches of a leader: named versions, retirements and new replicas.
 
-Owns the retirements that it has read. What follows from them is decided in
-`steplog/group_policy.py`, from versions in `rollouts/versions.py`.
+Holds the retirements that were read. Their consequences are decided in `steplog/group_policy.py`,
+those of versions in `rollouts/versions.py`.
 """
 
 from collections.abc import Callable
@@ -25,12 +25,12 @@
 
 
 class LeaderWatches:
-    """What a leader follows: named versions, retirements of replicas, new replicas.
+    """Watches named versions, retirements of replicas, and new replicas.
 
     Parameters
     ----------
     reader
-        The store as a leader reads it, also where it turns this machine away.
+        Reads the store for a leader, even if the store rejects this machine's calls.
     """
 
     def __init__(
@@ -48,20 +48,20 @@
         self._is_member: Callable[[str], bool] = _may_be_member
 
     def follow_members(self, is_member: Callable[[str], bool]) -> None:
-        """Set how to tell whether a replica still belongs to the group."""
+        """Set the function that tells whether a replica still belongs to the group."""
         self._is_member = is_member
 
     def retiring(self) -> frozenset[str]:
-        """Return the names of replicas that are to be emptied, or are."""
+        """Return the names of the replicas that are to be drained or already are."""
         return frozenset(self._retirements)
 
     async def run(self, steward: VersionSteward, wake: curio.Event) -> None:
-        """Follow until cancelled."""
+        """Watch until cancelled."""
 
         async def take_version(found: StoreObject) -> None:
             named = objects.named_version(found)
             if named is not None:
-                steward.named(named.model, named.version)
+                steward.note_version(named.model, named.version)
                 logs.decision("version_named", model=named.model, version=named.version)
                 await wake.set()
 
@@ -87,7 +87,7 @@
             self._reader, self._health, names.REPLICAS, self.take_replicas, self._replica_changed
         )
         async with curio.TaskGroup() as group:
-            # The group does not raise where one of its tasks fails.
+            # The group does not raise if one of its tasks fails.
             await group.spawn(keep_running, "named versions", versions.run)
             await group.spawn(keep_running, "retirements", retirements.run)
             await group.spawn(keep_running, "new replicas", replicas.run)
@@ -104,7 +104,7 @@
         logs.decision("retirement", replica=change.object.name, status=change.object.status)
 
     async def _mark_retired(self) -> None:
-        """Tell of each replica that has left the group."""
+        """Mark each retirement whose replica has left the group as done."""
         while True:
             for name, found in list(self._retirements.items()):
                 if objects.is_retired(found) or self._is_member(name):
@@ -125,7 +125,7 @@
             self._retirements[name] = fresh
 
     async def take_replicas(self, found: tuple[StoreObject, ...]) -> None:
-        """Connect to the replicas that are listed."""
+        """Connect to the listed replicas."""
         for each in found:
             await self._add_replica(each)
 
--- a/src/pondtiller/gateway/leader/leadership.py
+++ b/src/pondtiller/gateway/leader/leadership.py
@@ -1,8 +1,8 @@
-"""Standing for leader, and keeping the lease: the step log's leader over links.
+"""Election of the leader and renewal of its lease: drives the leader's step log over links.
 
-Owns the links to replicas and the messages on them; nothing of it outlives the process. The log's
-side is `steplog/leader.py`, when to stand `standing.py`, the members of the group
-`group_upkeep.py`. What a leader does with its term is `duties.py`'s.
+Holds the links to the replicas and the messages on them; nothing of it outlives the process. The
+log's logic is in `steplog/leader.py`, the time of a candidacy in `candidacy.py`, the maintenance of
+the group in `group_maintenance.py`, and the work of a term in `duties.py`.
 """
 
 import random
@@ -12,14 +12,14 @@
 from betterproto import Message
 
 from pondtiller.address import Address
-from pondtiller.gateway.leader.group_upkeep import GroupUpkeep
-from pondtiller.gateway.leader.standing import (
+from pondtiller.gateway.leader.candidacy import (
     Candidacy,
-    CandidatePlace,
+    CandidateLocation,
     CandidateView,
+    election_delay,
     handicap,
-    stand_delay,
 )
+from pondtiller.gateway.leader.group_maintenance import GroupMaintenance
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.hashing import score
 from pondtiller.links.frames import Encoded, encode_message
@@ -28,15 +28,15 @@
 from pondtiller.process.stalls import StallWatch
 from pondtiller.rollouts.step_keys import keys_of_ended_steps
 from pondtiller.steplog.entry import Entry
-from pondtiller.steplog.fault_tolerance import USUAL_RULES, PlaceRules
+from pondtiller.steplog.fault_tolerance import DEFAULT_RULES, GroupRules
 from pondtiller.steplog.instructions import (
     Committed,
-    Deposed,
-    Loaded,
+    DeferredLoaded,
+    ElectionWon,
     Phase,
     Send,
-    StandDown,
-    Won,
+    StepDownReason,
+    SteppedDown,
 )
 from pondtiller.steplog.leader import LeaderLog
 from pondtiller.steplog.term_rules import HEARTBEAT_SECONDS
@@ -53,39 +53,40 @@
 )
 
 DISAGREE_SECONDS = 0.1
-"""Between two looks for a leader while some replicas name one and others none: nothing arrives when
-the last word of a replica that is cut off gets too old."""
-SHORTEST_PAUSE_SECONDS = 0.01
-"""Between two looks of a candidate: a look that comes early does not repeat at once."""
-LONGEST_PAUSE_SECONDS = 1.0
-"""Between two looks of a gateway that has nothing to do: replicas' news wake it before. Chosen, not
-measured: it costs one look a second."""
+"""Interval at which a gateway looks for a leader while some replicas name one and others do not. No
+message arrives when the last view of a disconnected replica becomes outdated."""
+MIN_PAUSE_SECONDS = 0.01
+"""Shortest interval between two checks of a candidate, so that an early one does not repeat in a
+busy loop."""
+MAX_PAUSE_SECONDS = 1.0
+"""Longest interval between two checks of an idle gateway, which costs one wake-up a second;
+messages of replicas wake it earlier."""
 
 
 class FirstGroupSource(Protocol):
     """Agrees with the other gateways on the first group, once for the whole system."""
 
     async def first_group(self, candidates: tuple[GroupMember, ...]) -> Group | None:
-        """Return the agreed group, or None while there is none."""
+        """Return the agreed group, or None if there is none yet."""
 
 
 class Duties(Protocol):
-    """What a leader does; called for each event of the log."""
+    """Callbacks for the log's events while this gateway is the leader."""
 
-    async def begin(self, won: Won) -> None:
-        """Take over."""
+    async def begin(self, won: ElectionWon) -> None:
+        """Start a term."""
 
     async def committed(self, key: str) -> None:
-        """Take a write that is done."""
+        """Handle a committed write."""
 
     def loaded(self, entries: tuple[Entry, ...]) -> None:
-        """Take values of the log that were not needed to begin."""
+        """Add values of the log whose reading was deferred at the start of the term."""
 
-    async def end(self, reason: StandDown) -> None:
-        """Stop at once: another gateway may lead now."""
+    async def end(self, reason: StepDownReason) -> None:
+        """Stop at once: another gateway may be the leader now."""
 
     def retiring(self) -> frozenset[str]:
-        """Return the names of replicas that are to be emptied."""
+        """Return the names of the replicas that are to be drained."""
 
 
 class Leadership:
@@ -94,24 +95,24 @@
     Parameters
     ----------
     wanted_size
-        Replicas that a group should have.
+        Wanted number of replicas in the group.
     cores
-        Speed of this gateway's machine: a slow one leads only where no faster one does.
+        Speed of this gateway's machine, in cores: a slow one leads only if there is no faster one.
     rules
-        Which losses the group is to bear, and where zones lie.
+        Losses that the group must tolerate, and the regions of zones.
     stalls
-        Knows how long this process was paused; a watch that sees no pause where it is None.
+        Measures pauses of this process; without it no pauses are seen.
 
     Attributes
     ----------
     started_at
-        When this gateway started, on the steady clock.
-    may_stand
-        Whether it is ready to lead.
+        When this gateway started, in monotonic time.
+    may_campaign
+        Whether this gateway is ready to become the leader.
     handicap
-        How much later it stands than a fast machine, in seconds.
+        Additional delay of its candidacies compared with a fast machine, in seconds.
     losses
-        How many members of a group of the wanted size may be lost at a time.
+        How many members of a group of the wanted size may fail at the same time.
     """
 
     def __init__(
@@ -123,21 +124,21 @@
         first_group: FirstGroupSource,
         metrics: GatewayMetrics,
         zone: str = "",
-        rules: PlaceRules | None = None,
+        rules: GroupRules | None = None,
         stalls: StallWatch | None = None,
     ) -> None:
         identity = score("epoch", f"{name}/{clock.new_incarnation()}") & 0xFFFFFFFF
         self.log = LeaderLog(name, address.host, address.port, identity, keys_of_ended_steps)
         self.replicas = ReplicaDirectory(name, self._connected, self._lost, self.wake_up)
         self.started_at = clock.monotonic()
-        self.may_stand = False
+        self.may_campaign = False
         self._has_resigned = False
         self.handicap = handicap(cores)
         self.name = name
         self.zone = zone
         self._address = address
-        self._rules = rules or USUAL_RULES
-        self.group_upkeep = GroupUpkeep(self.log, wanted_size, self._rules)
+        self._rules = rules or DEFAULT_RULES
+        self.group_maintenance = GroupMaintenance(self.log, wanted_size, self._rules)
         self.losses = (wanted_size - 1) // 2
         self._stalls = stalls or StallWatch()
         self._awaits_renewal = False
@@ -150,38 +151,38 @@
         self._candidacy = Candidacy(self._random)
 
     def serve(self, duties: Duties) -> None:
-        """Set what this gateway does when it leads."""
+        """Set the callbacks for the time in which this gateway is the leader."""
         self._duties = duties
 
     @property
     def shortfall(self) -> int:
-        """Members more that the group would need; see `GroupUpkeep.shortfall`."""
-        return self.group_upkeep.shortfall
+        """Additional members that the group would need; see `GroupMaintenance.shortfall`."""
+        return self.group_maintenance.shortfall
 
     def leader(self) -> LeaderPlace | None:
-        """Return the leader: this gateway where it leads, else whom the replicas name."""
+        """Return the leader: this gateway if it is one, otherwise the one that replicas name."""
         if self.log.holds_lease(clock.monotonic()):
             return LeaderPlace(self.name, self._address, self.log.epoch)
         return self.replicas.leader()
 
     async def run(self) -> None:
-        """Stand when there is no leader, renew the lease while leading; until cancelled."""
+        """Campaign if there is no leader, renew the lease while leading; runs until cancelled."""
         while True:
             self._wake.clear()
             now = clock.monotonic()
             self.log.tick(now, self._stalls.running_seconds())
             self._log_renewal(now)
             if self.log.is_leading:
-                if self.group_upkeep.is_due(now):
-                    self.group_upkeep.look(self._retiring(), now)
+                if self.group_maintenance.is_due(now):
+                    self.group_maintenance.check(self._retiring(), now)
                 self.log.flush(now)
             elif self.log.phase is Phase.IDLE:
-                await self._consider_standing(now)
+                await self._campaign_if_due(now)
             await self._carry_out()
             await curio.ignore_after(self._pause(now), self._wake.wait)
 
     def _log_renewal(self, now: float) -> None:
-        """Tell when a lease that ended in a pause is to be renewed, and when it was."""
+        """Log when a lease that expired in a pause awaits its renewal, and when it is renewed."""
         if self.log.awaits_renewal is self._awaits_renewal:
             return
         self._awaits_renewal = self.log.awaits_renewal
@@ -192,58 +193,58 @@
             logs.decision("lease_renewed", epoch=self.log.epoch)
 
     async def flush(self) -> None:
-        """Send what was written."""
+        """Send pending writes."""
         self.log.flush(clock.monotonic())
         await self._carry_out()
 
-    async def read_rest(self) -> None:
-        """Read the values that were not needed to lead, now that the term has begun."""
-        self.log.holds_back = False
+    async def read_deferred(self) -> None:
+        """Read the deferred values of the log, now that the term has started."""
+        self.log.defers_reads = False
         await self._wake.set()
 
     async def resign(self) -> None:
-        """Give leadership back, and do not stand again."""
+        """Give up leadership for good."""
         self._has_resigned = True
         self.log.resign()
         await self._carry_out()
 
-    def _stand_delay(self) -> float:
-        place = CandidatePlace(
+    def _election_delay(self) -> float:
+        place = CandidateLocation(
             self.handicap,
             self.zone,
             self.replicas.group.members,
-            self._rules.places,
+            self._rules.topology,
             any(view.order_holder == self.name for view in self.replicas.views()),
         )
-        return stand_delay(place, self._random)
+        return election_delay(place, self._random)
 
     def _retiring(self) -> frozenset[str]:
         return self._duties.retiring() if self._duties is not None else frozenset()
 
     def member_links(self) -> list[int]:
-        """Return the links of the group's members, the nearest first."""
-        return self.log.member_links(self.zone, self._rules.places)
+        """Return the links of the group's members, nearest first."""
+        return self.log.member_links(self.zone, self._rules.topology)
 
     def _pause(self, now: float) -> float:
         if self.log.phase is not Phase.IDLE:
             return HEARTBEAT_SECONDS / 3
-        stand_at = self._candidacy.next_at()
-        if stand_at is not None:
-            return max(SHORTEST_PAUSE_SECONDS, stand_at - now)
+        campaign_at = self._candidacy.next_at()
+        if campaign_at is not None:
+            return max(MIN_PAUSE_SECONDS, campaign_at - now)
         if self.replicas.disagree():
             return DISAGREE_SECONDS
-        return LONGEST_PAUSE_SECONDS
+        return MAX_PAUSE_SECONDS
 
-    # Standing
+    # Election
 
-    async def _consider_standing(self, now: float) -> None:
+    async def _campaign_if_due(self, now: float) -> None:
         views = self.replicas.views()
         candidate = CandidateView(
-            self.may_stand and not self._has_resigned,
+            self.may_campaign and not self._has_resigned,
             bool(views),
             self.replicas.leader() is not None,
         )
-        if not self._candidacy.is_due(candidate, now, self._stand_delay):
+        if not self._candidacy.is_due(candidate, now, self._election_delay):
             return
         group = Group()
         known = max((view.group for view in views), key=lambda each: each.generation)
@@ -259,48 +260,48 @@
             replicas=len(views),
             generation=known.generation,
         )
-        self.log.stand(self.replicas.highest_epoch, group, clock.monotonic(), known)
+        self.log.campaign(self.replicas.highest_epoch, group, clock.monotonic(), known)
 
-    # Links
+    # Connections to replicas
 
     async def wake_up(self) -> None:
-        """Look at once whether to stand."""
+        """Check at once whether to campaign."""
         await self._wake.set()
 
     async def _connected(self, number: int, member: GroupMember) -> None:
-        self.group_upkeep.connected(member)
-        self.group_upkeep.look_soon()
+        self.group_maintenance.connected(member)
+        self.group_maintenance.check_soon()
         self.log.connected(number, member, clock.monotonic())
         await self._carry_out()
 
     async def _lost(self, number: int) -> None:
-        self.group_upkeep.look_soon()
+        self.group_maintenance.check_soon()
         self.log.lost(number)
         await self._carry_out()
 
     async def _carry_out(self) -> None:
         while True:
-            instructions = self.log.take()
+            instructions = self.log.pop_instructions()
             if not instructions:
                 return
             for instruction in instructions:
                 match instruction:
                     case Send():
                         await self._send(instruction)
-                    case Won():
+                    case ElectionWon():
                         await self._won(instruction)
-                    case Loaded():
+                    case DeferredLoaded():
                         if self._duties is not None:
                             self._duties.loaded(instruction.entries)
                     case Committed():
                         if self._duties is not None:
                             await self._duties.committed(instruction.key)
-                    case Deposed():
+                    case SteppedDown():
                         await self._deposed(instruction)
 
-    async def _won(self, won: Won) -> None:
+    async def _won(self, won: ElectionWon) -> None:
         self._metrics.takeovers += 1
-        self.group_upkeep.look_soon()
+        self.group_maintenance.check_soon()
         logs.decision(
             "leader_won",
             epoch=won.epoch,
@@ -310,22 +311,22 @@
         )
         await self.replicas.set_keeps_all(True)
         if self._duties is not None:
-            self.log.holds_back = True
+            self.log.defers_reads = True
             await self._duties.begin(won)
 
-    async def _deposed(self, deposed: Deposed) -> None:
+    async def _deposed(self, deposed: SteppedDown) -> None:
         self.replicas.highest_epoch = max(self.replicas.highest_epoch, deposed.highest_epoch)
         if deposed.wait_seconds:
-            # Nobody can lead before that lease ends; the delay keeps candidates apart.
-            delay = self._stand_delay()
-            self._candidacy.refused(clock.monotonic() + deposed.wait_seconds + delay)
+            # Nobody can lead before that lease expires; the delay separates the candidates.
+            delay = self._election_delay()
+            self._candidacy.note_refusal(clock.monotonic() + deposed.wait_seconds + delay)
         logs.decision(
             "leader_ended",
             reason=deposed.reason.value,
             highest_epoch=self.replicas.highest_epoch,
             wait=deposed.wait_seconds,
         )
-        self.group_upkeep.term_ended()
+        self.group_maintenance.term_ended()
         await self.replicas.set_keeps_all(False)
         if self._duties is not None:
             await self._duties.end(deposed.reason)
@@ -348,7 +349,7 @@
                 await link.request(self._encoded(send.message), answered)
 
     def _encoded(self, message: Message) -> Encoded:
-        """Encode a message that goes to several replicas only once."""
+        """Encode a message once, even if it goes to several replicas."""
         if self._last_encoded is None or self._last_encoded[0] is not message:
             self._last_encoded = (message, encode_message(message))
         return self._last_encoded[1]
--- a/src/pondtiller/gateway/leader/order_rights.py
+++ b/src/pondtiller/gateway/leader/order_rights.py
@@ -1,7 +1,7 @@
-"""The right to order engines: claimed once a term, and a note in the log before each order.
+"""Permission to order engines: claimed once a term, and a note in the log before each order.
 
-A successor waits for the orders that another gateway may have given lately, and for no others.
-Owns the notes under way and until when each is good, for one term; the notes themselves are in the
+A successor waits only for orders that another gateway may have sent recently. Holds the notes that
+are not committed yet and how long each one is valid, for one term. The notes themselves are in the
 step log, and the rules in `order_waits.py`. Which engine loads which version is decided in
 `rollouts/versions.py`.
 """
@@ -21,16 +21,16 @@
 from pondtiller.process import clock, logs
 from pondtiller.rollouts.versions import VersionSteward
 from pondtiller.routes.engines import EngineDirectory
-from pondtiller.steplog.instructions import Won
+from pondtiller.steplog.instructions import ElectionWon
 
 
 class OrderRights:
-    """When one term's leader may order which engine.
+    """Decides when a term's leader may order which engine.
 
     Parameters
     ----------
     lease_seconds
-        How long after another leader's last order the first own one may come.
+        Minimum time between another leader's last order and the first own one.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         leadership: Leadership,
         engines: EngineDirectory,
         steward: VersionSteward,
-        won: Won,
+        won: ElectionWon,
         lease_seconds: float,
     ) -> None:
         self._leadership = leadership
@@ -53,9 +53,10 @@
         self._good_until: dict[str, float] = {}
 
     def claim(self) -> None:
-        """Begin to order engines: those that another gateway ordered lately wait for that order.
+        """Start to order engines; engines recently ordered by another gateway wait first.
 
-        The claim tells who leads best next time; safety comes from the notes.
+        The claim only makes this gateway the preferred leader next time. Safety comes from the
+        notes.
         """
         now = clock.monotonic()
         pause = pause_after_others(self._lease_seconds, ORDER_SECONDS)
@@ -74,7 +75,7 @@
         )
 
     async def committed(self, key: str) -> bool:
-        """Take a write that is on a quorum of disks; False where it is no claim and no note."""
+        """Handle a write that is on a quorum of disks; False if it is neither claim nor note."""
         if key == self._claim_key:
             self._steward.may_order_from = clock.monotonic()
             self._leadership.log.drop_older_claims(key)
@@ -87,20 +88,20 @@
         return True
 
     async def note(self, identifier: str) -> bool:
-        """Write that an engine is about to be ordered; False where the order must not be given.
+        """Write a note that an engine is about to be ordered; return False if it must not be.
 
-        A successor relies on it: a note of every order is on a quorum of disks before the order
-        leaves, and the order leaves within `NOTE_SECONDS`.
+        Successors rely on the note of every order being on a quorum of disks before the order is
+        sent, and on the order being sent within `NOTE_SECONDS`.
         """
         engine = self._engines.engines.get(identifier)
         return engine is not None and await self.note_subject(engine.place)
 
     def free_from(self, subject: str, pause: float) -> float:
-        """Return when this gateway may act on a subject: `pause` after another's last note."""
+        """Return when this gateway may act on a subject: `pause` after another gateway's note."""
         return free_from(self._last_orders.get(subject), self._leadership.name, pause)
 
     async def note_subject(self, subject: str) -> bool:
-        """Write that a subject is about to be acted on, as `note` does for an engine's place."""
+        """Write a note that a subject is about to be acted on, as `note` does for an engine."""
         log = self._leadership.log
         began = clock.monotonic()
         if not log.holds_lease(began):
@@ -116,15 +117,15 @@
         return self.may_act(subject)
 
     def may_act(self, subject: str) -> bool:
-        """Return whether the note on a subject still covers what is sent now.
+        """Return whether the note on a subject is still valid.
 
-        Asked again right before a call leaves: this machine may have been suspended since.
+        Checked again right before a call is sent, since this machine may have been suspended.
         """
         now = clock.monotonic()
         good_until = self._good_until.get(subject, float("-inf"))
         return may_leave(OrderRight(good_until, self._leadership.log.holds_lease(now)), now)
 
     def may_order(self, identifier: str) -> bool:
-        """Return whether the note on an engine still covers an order that leaves now."""
+        """Return whether the note on an engine covers an order that is sent now."""
         engine = self._engines.engines.get(identifier)
         return engine is not None and self.may_act(engine.place)
--- a/src/pondtiller/gateway/leader/order_waits.py
+++ b/src/pondtiller/gateway/leader/order_waits.py
@@ -1,8 +1,8 @@
-"""By what right a leader gives orders, and how long it waits for orders of others. No I/O.
+"""Conditions for a leader's orders, and how long it waits for orders of other leaders. No I/O.
 
-Owns nothing. An order is a call that must not meet one of another gateway: to an engine (load a
-version), to the operator (start engines, take a report of use). A leader writes a note into the
-step log before each, so that a successor knows of it; `order_rights.py` keeps these notes.
+An order is a call that must not overlap with one of another gateway: to an engine (load a version)
+or to the operator (start engines, accept a usage report). A leader writes a note into the step log
+before each order, so that a successor knows of it; `order_rights.py` keeps these notes.
 """
 
 from collections.abc import Mapping
@@ -11,15 +11,12 @@
 from pondtiller.steplog.order_notes import LastOrder
 
 NOTE_SECONDS = 0.5
-"""An order that is not given this soon after its note was written is not given at all.
-
-Chosen, not measured: a first note took 54 ms over two regions; longer lengthens each successor's
-wait."""
+"""How long after its note an order may still be sent. A first note takes 54 ms over two regions; a
+higher value lengthens the wait of each successor."""
 
 CLOCK_MARGIN_SECONDS = 0.1
-"""What steady clocks of two machines may differ by over such a wait of 4.3 s.
-
-Chosen, not measured: two parts in a hundred of it, far more than clocks drift."""
+"""Allowed difference between the monotonic clocks of two machines over such a wait of 4.3 s: 2%,
+far more than clocks drift."""
 
 
 def pause_after_others(lease_seconds: float, call_seconds: float) -> float:
@@ -28,9 +25,9 @@
     Parameters
     ----------
     lease_seconds
-        Least time between orders of two gateways at the one who takes them.
+        Minimum time between orders of two gateways at their receiver.
     call_seconds
-        How long an order may be on its way.
+        How long an order may be in transit.
     """
     return lease_seconds + NOTE_SECONDS + call_seconds + CLOCK_MARGIN_SECONDS
 
@@ -38,9 +35,9 @@
 def engine_waits(
     last_orders: Mapping[str, LastOrder], own_name: str, pause: float
 ) -> dict[str, float]:
-    """Return until when engines wait, by place; in seconds of the steady clock.
+    """Return until when engines must wait, by address, in monotonic time.
 
-    Only those wait that another gateway ordered: own orders are in order by themselves.
+    Only engines that another gateway ordered have to wait: own orders are sequential.
     """
     return {
         place: last.at + pause for place, last in last_orders.items() if last.gateway != own_name
@@ -48,21 +45,21 @@
 
 
 def free_from(last: LastOrder | None, own_name: str, pause: float) -> float:
-    """Return when a gateway may act on a subject, given the last order of it in the log."""
+    """Return when a gateway may act on a subject, given its last order in the log."""
     if last is None or last.gateway == own_name:
         return float("-inf")
     return last.at + pause
 
 
 class OrderRight(NamedTuple):
-    """What decides whether an order may leave at a moment; times as of the steady clock.
+    """Inputs of the decision whether an order may be sent; times are monotonic.
 
     Attributes
     ----------
     good_until
-        Until when the committed note covers the order; minus infinity without one.
+        End of the committed note's validity; minus infinity without a note.
     holds_lease
-        Whether no other gateway can lead at this moment.
+        Whether no other gateway can be the leader at this moment.
     """
 
     good_until: float
@@ -70,5 +67,5 @@
 
 
 def may_leave(right: OrderRight, now: float) -> bool:
-    """Return whether an order may leave: under a committed note that is young, and a lease."""
+    """Return whether an order may be sent: under a valid committed note and a lease."""
     return now < right.good_until and right.holds_lease
--- a/src/pondtiller/gateway/leader/rate_duty.py
+++ b/src/pondtiller/gateway/leader/rate_duty.py
@@ -1,6 +1,6 @@
-"""The leader's part in rates that all gateways hold together: grants shares to those who ask.
+"""Leader's part in shared rates: grants shares to the gateways that ask for them.
 
-Owns the shares granted in one term. How large a share is, is decided in
+Holds the shares granted in one term. The size of a share is decided in
 `coordination/rate_grants.py`.
 """
 
@@ -13,27 +13,28 @@
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.wire.steplog import AskShares, SharesGranted
 
-LONGEST_LEASE_SECONDS = 10.0
-"""Of a rate that the table does not name: longer than that of any rate. Chosen, not measured."""
+MAX_LEASE_SECONDS = 10.0
+"""Lease for a rate that the table does not name; longer than that of any rate."""
 
 FindTerms = Callable[[str], RateTerms | None]
-"""Takes a rate's subject; None where there is no such rate, of which nothing is granted."""
+"""Takes a rate's key; returns None if there is no such rate, of which nothing is granted."""
 
 
-NO_RATE = RateTerms(0, 0, LONGEST_LEASE_SECONDS)
+NO_RATE = RateTerms(0, 0, MAX_LEASE_SECONDS)
 
 
 def no_terms(_subject: str) -> None:
-    """Return that there is no such rate."""
+    """Return None for any rate."""
 
 
 class RateDuty:
-    """The duty during one term.
+    """Grants shares during one term.
 
     Parameters
     ----------
     find_terms
-        Asked at each wish: the rows in force at the leader decide, whatever those who ask know.
+        Called for each request, so that the rows in force at the leader decide, whatever the asking
+        gateway knows.
     """
 
     def __init__(self, epoch: int, find_terms: FindTerms) -> None:
@@ -41,14 +42,14 @@
         self._find_terms = find_terms
         self._grantor = RateGrantor(clock.monotonic())
 
-    def take(self, message: AskShares, now: float) -> SharesGranted:
-        """Take a gateway's wishes; those meant for another leader, or overtaken, are not taken.
+    def answer(self, message: AskShares, now: float) -> SharesGranted:
+        """Answer a gateway's requests; those for another leader or out of order are rejected.
 
         Parameters
         ----------
         now
-            When the lease was looked at: what is granted is granted as of then, however long this
-            gateway stands still in between.
+            When the lease was checked. Shares are granted as of then, even if this process was
+            paused in between.
         """
         holder = HolderKey(message.daemon, message.incarnation)
         columns = (message.subjects, message.wanted, message.holding, message.holding_of)
@@ -65,5 +66,5 @@
         return answer
 
     def drop_expired(self, now: float) -> None:
-        """Forget rates that nobody uses."""
+        """Remove unused rates."""
         self._grantor.drop_expired(now)
--- a/src/pondtiller/gateway/leader/reattach.py
+++ b/src/pondtiller/gateway/leader/reattach.py
@@ -1,8 +1,8 @@
-"""Finds the runner of a run again after their link ended while the leader lives.
+"""Reconnects to the runner of a run whose link ended while the leader continues.
 
-The end of a link tells nothing about the runner: it keeps its runs, and their engines work on. So
-the leader connects again and asks for the run by its name. Owns until when it tries, for one run;
-the links are `runner_directory.py`'s.
+A lost link does not mean that the runner has failed: it keeps its runs, and their engines continue.
+The leader therefore reconnects and asks for the run by name. Holds the deadline of these attempts
+for one run; the links are kept by `runner_directory.py`.
 """
 
 import curio
@@ -13,12 +13,12 @@
 
 
 class RunnerSearch:
-    """Looks for the runner of one run, each time that a link to it has ended.
+    """Reconnects to the runner of one run each time that their link ends.
 
     Parameters
     ----------
     stalls
-        Knows how long this process was paused: a connection that was made meanwhile is not late.
+        Measures pauses of this process: a connection opened during one is not late.
     """
 
     def __init__(self, runners: RunnerDirectory, stalls: StallWatch) -> None:
@@ -27,14 +27,14 @@
         self._give_up_at: float | None = None
 
     async def find(self, lost: RunnerLink) -> RunnerLink | None:
-        """Return a new link to the gateway of a lost one; None where it has ended its runs.
+        """Return a new link to the gateway of a lost one; None if it has ended its runs.
 
         A gateway that refuses connections has ended. One that does not answer, or whose links end
-        without a message, ends its runs as it does not hear its leader (`LEADER_SILENT_SECONDS`).
+        without a message, ends its runs because it has lost its leader (`LEADER_SILENT_SECONDS`).
         """
-        if lost.is_given_up:
+        if lost.was_given_up:
             return None
-        if lost.has_news or self._give_up_at is None:
+        if lost.has_received or self._give_up_at is None:
             self._give_up_at = self._silent_at(lost)
         elif self._stalls.running_seconds() >= self._give_up_at:
             return None
@@ -43,5 +43,5 @@
         return await self._runners.reconnect_to(lost.daemon, self._give_up_at)
 
     def _silent_at(self, lost: RunnerLink) -> float:
-        """Return when a gateway counts as silent, in seconds in which this process ran."""
-        return max(self._stalls.running_seconds(), lost.heard_at + RUNNER_SILENT_SECONDS)
+        """Return when a gateway counts as silent, in running time of this process."""
+        return max(self._stalls.running_seconds(), lost.last_message_at + RUNNER_SILENT_SECONDS)
--- a/src/pondtiller/gateway/leader/run_links.py
+++ b/src/pondtiller/gateway/leader/run_links.py
@@ -1,8 +1,8 @@
-"""A leader's link to one gateway that runs samples for it.
+"""Leader's link to one gateway that runs samples for it.
 
-Owns the runs and scores that go on there, as long as the link lasts; the gateway keeps what it has
-beyond that (`reattach.py`). Which gateways are linked to, and which serves an engine, is decided in
-`runner_directory.py`; the gateway's side is `gateway/runs/run_host.py`.
+Holds the runs and scores in progress there, as long as the link lasts; the gateway keeps its state
+longer than that (`reattach.py`). Which gateways are connected, and which one serves an engine, is
+decided in `runner_directory.py`; the gateway's side is `gateway/runs/run_host.py`.
 """
 
 from collections.abc import Callable, Iterable
@@ -34,36 +34,39 @@
     ScoreSample,
 )
 
-KEEP_SECONDS = 0.3
-"""As often as a leader renews its lease."""
-LEASE_LOOK_SECONDS = 0.02
-"""Between two looks of a leader that may not keep its runners' runs until its lease is renewed, in
-seconds: after a pause of both sides a runner waits 0.2 s for its leader's word."""
+KEEP_RUNS_SECONDS = 0.3
+"""Interval of the messages that keep a runner's runs alive; as often as a leader renews its
+lease."""
+LEASE_CHECK_SECONDS = 0.02
+"""Interval at which a leader that must not send `KeepRuns` checks whether its lease is renewed.
+After a pause of both sides a runner waits 0.2 s for a message of its leader."""
 RUNNER_SILENT_SECONDS = 1.1
-"""A runner with runs tells something each `NEWS_SECONDS`, the last time up to so long before a cut.
-It ends its runs 1.0 s to 1.2 s after the cut (`LEADER_SILENT_SECONDS` and the replicas' answer), so
-they go on for 0.35 s at most after the leader has begun them elsewhere."""
+"""Time without a message after which a runner is given up. A runner with runs sends a message every
+`NEWS_SECONDS`, the last one up to that long before a disconnection. It ends its runs 1.0 s to 1.2 s
+after the disconnection (`LEADER_SILENT_SECONDS` plus the replicas' answer), so they overlap with
+the leader's new runs by 0.35 s at most."""
 SCORE_CALL_SECONDS = 6.0
-"""Longer than any scorer is given; a runner that is gone ends the call with its link."""
+"""Longer than any scorer may take; if the runner is gone, the call ends with its link."""
 RUNNER_LOST = RunOutcome(RunEnd.STALE, "the runner is lost")
-"""Neither the engine nor the sample is to blame: the run goes on elsewhere from its text."""
+"""Outcome of a run whose runner was lost: neither the engine nor the sample is at fault, and the
+run continues elsewhere from its text."""
 
 SCORE_LOST = ScoreOutcome(ScoreEnd.LOST, "", "the runner is lost")
 
 
 class Runner(Protocol):
-    """Carries out runs, here or at another gateway."""
+    """Executes runs, in this process or at another gateway."""
 
     async def run(self, order: RunOrder, take: EventSink) -> RunOutcome:
-        """Run a sample on an engine; `take` gets each event and says whether to go on."""
+        """Run a sample on an engine; `take` receives each event and returns whether to continue."""
 
     async def score(self, run: int, content: bytes) -> ScoreOutcome:
-        """Have the sample judged that a run has made whole."""
+        """Have the sample scored that a run has completed."""
 
 
 @dataclass
 class RemoteScore:
-    """A text that is judged at the runner that made it whole."""
+    """A text that is being scored at the runner that completed it."""
 
     done: curio.Event = field(default_factory=curio.Event)
     outcome: ScoreOutcome = SCORE_LOST
@@ -71,48 +74,49 @@
 
 @dataclass
 class RemoteRun:
-    """A run that goes on at a runner.
+    """A run in progress at a runner.
 
     Attributes
     ----------
     dropped_at
-        When the runner was asked to end it, in seconds in which this process ran; None while it is
+        When the runner was asked to end it, in running time of this process; None while it is
         wanted.
-    dropped_for
-        Why, for the logs.
+    drop_reason
+        Reason, for logs.
     """
 
     take: EventSink
     done: curio.Event = field(default_factory=curio.Event)
     outcome: RunOutcome = RUNNER_LOST
     dropped_at: float | None = None
-    dropped_for: str = ""
+    drop_reason: str = ""
 
 
 class RunnerLink:
-    """One gateway that runs samples for this leader.
+    """Link to one gateway that runs samples for this leader.
 
     Parameters
     ----------
     checked
-        Called with the numbers of the runs of which news came, and the time: nothing else of them
-        has happened until then.
+        Called with the numbers of the runs that a message covers, and its time: no other events of
+        these runs have happened until then.
     runner_stalled
-        Called before with the runs, seconds and the time where the runner says that it was paused.
+        Called before that with the runs, seconds and the time if the runner reports a pause.
     stalls
-        Knows how long this process was paused; a watch that sees no pause where it is None.
+        Measures pauses of this process; without it no pauses are seen.
     holds_lease
-        Returns whether no other gateway can lead now: only then a runner is to keep its runs.
+        Returns whether no other gateway can be the leader now: only then may a runner be told to
+        keep its runs.
 
     Attributes
     ----------
-    heard_at
-        When its last message came, in seconds in which this process ran
-        (`StallWatch.running_seconds`); when its first run began where none has come.
-    has_news
-        Whether any message has come over this link.
-    is_given_up
-        Whether the link was ended here since the runner was silent.
+    last_message_at
+        When its last message arrived, in running time of this process
+        (`StallWatch.running_seconds`); when its first run started if none has arrived.
+    has_received
+        Whether any message has arrived on this link.
+    was_given_up
+        Whether the link was closed here because the runner was silent.
     """
 
     def __init__(
@@ -134,12 +138,12 @@
         self._runner_stalled = runner_stalled
         self._stalls = stalls or StallWatch()
         self._holds_lease = holds_lease
-        self.heard_at = self._stalls.running_seconds()
-        self.has_news = False
-        self.is_given_up = False
+        self.last_message_at = self._stalls.running_seconds()
+        self.has_received = False
+        self.was_given_up = False
 
     async def serve(self) -> None:
-        """Take the runner's news until the link ends; then all its runs have ended."""
+        """Process the runner's messages until the link ends; then all of its runs have ended."""
         keeper = await curio.spawn(self._keep, daemon=True)
         try:
             await self.link.run(self._take)
@@ -153,13 +157,13 @@
     async def run(self, order: RunOrder, take: EventSink) -> RunOutcome:
         """Run a sample on an engine.
 
-        Returns once the runner says that the run is over, also one that was dropped, or is lost.
+        Returns once the runner reports the end of the run, even if it was dropped, or is lost.
         """
         if self.link.is_lost:
             return RUNNER_LOST
         run = RemoteRun(take)
         if not self.runs:
-            self.heard_at = self._stalls.running_seconds()
+            self.last_message_at = self._stalls.running_seconds()
         self.runs[order.run] = run
         has_ended = False
         try:
@@ -175,9 +179,9 @@
                 await self.link.send(DropRun(run=order.run))
 
     async def drop(self, run: int) -> bool:
-        """Have a run ended that is wanted no more; False where the runner has none of this name.
+        """Have a run ended that is no longer wanted; return False if the runner does not have it.
 
-        `run` returns once it is over: until then an engine may be at work on the sample.
+        `run` returns once it is over: until then an engine may be working on the sample.
         """
         dropped = self.runs.get(run)
         if dropped is None or self.link.is_lost:
@@ -187,11 +191,11 @@
 
     async def _drop(self, run: int, dropped: RemoteRun, reason: str) -> None:
         if dropped.dropped_at is None:
-            dropped.dropped_at, dropped.dropped_for = self._stalls.running_seconds(), reason
+            dropped.dropped_at, dropped.drop_reason = self._stalls.running_seconds(), reason
             await self.link.send(DropRun(run=run))
 
     async def score(self, run: int, content: bytes) -> ScoreOutcome:
-        """Have a sample judged: the runner that made it whole does so unasked."""
+        """Wait for a sample's score; the runner that completed it scores it without being asked."""
         waiting = self.scores.get(run)
         if waiting is None:
             return await self._ask_score(content)
@@ -217,8 +221,8 @@
         if not isinstance(message, RunNews):
             return
         now = clock.monotonic()
-        self.heard_at = self._stalls.running_seconds()
-        self.has_news = True
+        self.last_message_at = self._stalls.running_seconds()
+        self.has_received = True
         try:
             events, ended = read_events(message, now), read_ends(message)
             scored = read_scores(message)
@@ -245,7 +249,7 @@
         if run is None:
             return
         if run.dropped_at is not None:
-            run.outcome = RunOutcome(RunEnd.STALE, run.dropped_for)
+            run.outcome = RunOutcome(RunEnd.STALE, run.drop_reason)
         else:
             if ended.end is RunEnd.WHOLE:
                 self.scores[ended.run] = RemoteScore()
@@ -259,43 +263,44 @@
             await waiting.done.set()
 
     async def _keep(self) -> None:
-        """Say that the leader lives while there are runs; end the link of a silent runner."""
+        """Tell the runner to keep its runs while there are any; close the link if it is silent."""
         while not self.link.is_lost:
             if self.runs or any(not each.done.is_set() for each in self.scores.values()):
                 while not self._holds_lease() and not self.link.is_lost:
-                    await curio.sleep(LEASE_LOOK_SECONDS)
+                    await curio.sleep(LEASE_CHECK_SECONDS)
                 await self.link.send(KeepRuns(epoch=self._epoch))
                 if self._is_silent():
-                    # News that came while this process was paused are read first.
+                    # Messages that arrived while this process was paused are read first.
                     await self._stalls.read_first()
                 if self._is_silent():
                     logs.decision("runner_silent", runner=self.daemon.name, runs=len(self.runs))
-                    self.is_given_up = True
+                    self.was_given_up = True
                     await self.link.drop()
-            await curio.sleep(KEEP_SECONDS)
+            await curio.sleep(KEEP_RUNS_SECONDS)
 
     def _is_silent(self) -> bool:
-        return is_silent(self.heard_at, self._dropped_at(), self._stalls.running_seconds())
+        return is_silent(self.last_message_at, self._dropped_at(), self._stalls.running_seconds())
 
     def _dropped_at(self) -> list[float]:
-        """Return when the runner was asked to end what it has not ended yet."""
+        """Return when the runner was asked to end runs that have not ended yet."""
         return [each.dropped_at for each in self.runs.values() if each.dropped_at is not None]
 
 
-def is_silent(heard_at: float, dropped_at: Iterable[float], now: float) -> bool:
-    """Return whether a runner is given up; its runs are begun elsewhere then.
+def is_silent(last_message_at: float, dropped_at: Iterable[float], now: float) -> bool:
+    """Return whether a runner is given up; its runs are then started elsewhere.
 
-    The leader's own pauses don't count: a runner that was paused with it has sent nothing yet.
+    Pauses of the leader's process do not count: a runner paused together with it has sent nothing
+    either.
 
     Parameters
     ----------
-    heard_at
-        When its last message came, in seconds in which the leader's process ran, as all times here.
+    last_message_at
+        When its last message arrived, in running time of the leader's process, as all times here.
     dropped_at
-        When it was asked to end runs that it has not ended yet: it may send news of others all the
-        same.
+        When it was asked to end runs that have not ended yet. It may still send messages about
+        other runs.
     """
-    return now > min([heard_at, *dropped_at]) + RUNNER_SILENT_SECONDS
+    return now > min([last_message_at, *dropped_at]) + RUNNER_SILENT_SECONDS
 
 
 def _begin(order: RunOrder, epoch: int) -> BeginRun:
