--- a/src/pondtiller/gateway/leader/run_offers.py
+++ b/src/pondtiller/gateway/leader/run_offers.py
@@ -1,7 +1,7 @@
-"""Runs of an earlier leader that their runners offer to this one, taken over in its term.
+"""Runs of an earlier leader that runners offer to the new one, which takes them over.
 
-Owns which runners were asked to come again, and where runs that were taken over go on; both end
-with the term. Which run fits the log is decided by `SampleScheduler.take_over`.
+Holds which runners were asked to offer again, and where the runs that were taken over continue;
+both end with the term. Which run fits the log is decided by `SampleScheduler.take_over`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -22,74 +22,75 @@
 from pondtiller.rollouts.steps import StepStatus
 from pondtiller.wire.steplog import OfferRuns, RunsTaken
 
-HELD_WAIT_SECONDS = 0.2
-"""From a term's start until a sample of an earlier leader is begun anew: a replica's view is on its
-way for 20 ms at most, a runner looks each 0.05 s, connects and offers its runs in 60 ms. In two
-regions the last of nine offers came 0.16 s after the election."""
+OFFER_WAIT_SECONDS = 0.2
+"""How long after a term's start samples of an earlier leader are not started again. A replica's
+view arrives within 20 ms, a runner checks every 0.05 s, and connects and offers its runs in 60 ms.
+Over two regions the last of nine offers came 0.16 s after the election."""
 FRESH_START_SECONDS = 2.0
-"""A start of all machines has a leader 0.7 s to 1.1 s after the gateways' own."""
+"""Age of this process up to which it does not wait for offers: when all machines start together, a
+leader is elected 0.7 s to 1.1 s after the gateways started."""
 
-COME_AGAIN_SECONDS = 0.25
-"""From the reading of the texts until runners that offered before it must have offered again: they
-pause 0.05 s, look each 0.05 s, and an answer takes 40 ms between regions."""
+REOFFER_SECONDS = 0.25
+"""How long after the reading of the texts runners that offered before it must have offered again:
+they pause 0.05 s, check every 0.05 s, and an answer takes 40 ms between regions."""
 
 
 class OfferWait(NamedTuple):
-    """What decides whether a new leader waits for offers; times in seconds of the steady clock.
+    """Inputs of the decision whether a new leader waits for offers, in seconds.
 
-    From the term's start on the clock stands still with this process.
+    From the term's start on, times do not include pauses of this process.
 
     Attributes
     ----------
     started_at
         When this gateway's process started.
     began
-        When the term began.
+        When the term started.
     texts_read
         When the texts of earlier leaders were read; the term's start until they are.
     is_connecting
-        Whether a runner that offers is being connected to.
-    will_come_again
-        Whether a runner that offered before the texts were read has not offered again.
+        Whether a connection to a runner that made an offer is being opened.
+    will_reoffer
+        Whether a runner that offered before the texts were read has not offered again yet.
     """
 
     started_at: float
     began: float
     texts_read: float
     is_connecting: bool
-    will_come_again: bool
+    will_reoffer: bool
 
 
 def are_offers_awaited(wait: OfferWait, now: float) -> bool:
-    """Return whether a new leader begins no sample yet, so that a run that goes on may be offered.
+    """Return whether a new leader must not start samples yet, since their runs may be offered.
 
-    A gateway that leads right after its own start does not wait: all machines have lost power
-    then, as a rule, and nobody has runs.
+    A gateway that becomes the leader right after its own start does not wait: usually all machines
+    have lost power then, and no runs exist.
     """
     if wait.began < wait.started_at + FRESH_START_SECONDS:
         return False
     lasted = now - wait.began
-    if lasted < HELD_WAIT_SECONDS or (wait.is_connecting and lasted < CONNECT_SECONDS):
+    if lasted < OFFER_WAIT_SECONDS or (wait.is_connecting and lasted < CONNECT_SECONDS):
         return True
-    return wait.will_come_again and now < wait.texts_read + COME_AGAIN_SECONDS
+    return wait.will_reoffer and now < wait.texts_read + REOFFER_SECONDS
 
 
 class RunOffers:
-    """What runners offer to one term of a leader.
+    """Offers of runners during one term of a leader.
 
     Parameters
     ----------
     carry_out
-        Carries out what the scheduler has decided.
+        Executes the scheduler's instructions.
     began
-        When the term began, in seconds of the steady clock.
+        When the term started, in monotonic time.
     stalls
-        Knows how long this process stood still: offers that came meanwhile wait to be read.
+        Measures pauses of this process, during which offers wait to be read.
 
     Attributes
     ----------
     has_texts
-        Whether the texts that earlier leaders left were read.
+        Whether the texts that earlier leaders saved were read.
     """
 
     def __init__(
@@ -113,33 +114,33 @@
         self._stalled_before = stalls.stalled_seconds()
         self._connecting = 0
         self._texts_read = began
-        self._to_come_again: set[str] = set()
+        self._to_reoffer: set[str] = set()
         self._runner_of: dict[int, RunnerLink] = {}
 
     def are_awaited(self, now: float) -> bool:
-        """Return whether runs of an earlier leader may still be taken over in place of new ones."""
+        """Return whether runs of an earlier leader may still be taken over instead of restarted."""
         wait = OfferWait(
             self._leadership.started_at,
             self._began,
             self._texts_read,
             self._connecting > 0,
-            bool(self._to_come_again),
+            bool(self._to_reoffer),
         )
-        return are_offers_awaited(wait, self._running(now))
+        return are_offers_awaited(wait, self._running_time(now))
 
-    def _running(self, now: float) -> float:
-        """Return a moment on a clock that stands still with this process from the term's start."""
+    def _running_time(self, now: float) -> float:
+        """Return a time on a clock that, from the term's start, excludes pauses of this process."""
         return now - (self._stalls.stalled_seconds() - self._stalled_before)
 
     def texts_read(self, now: float) -> None:
-        """Take that the texts that earlier leaders left were read: runs can be taken over."""
+        """Record that the texts of earlier leaders were read, so that runs can be taken over."""
         self.has_texts = True
-        self._texts_read = self._running(now)
+        self._texts_read = self._running_time(now)
 
-    async def take(self, message: OfferRuns) -> RunsTaken:
-        """Go on with the runs of a runner; the answer tells which.
+    async def answer(self, message: OfferRuns) -> RunsTaken:
+        """Take over a runner's runs; the answer tells which.
 
-        No sample is begun anew while the runner is connected to, for a while at most.
+        While the runner is being connected to, no sample is restarted, for a limited time.
         """
         self._connecting += 1
         try:
@@ -150,15 +151,15 @@
             self._connecting -= 1
         now = clock.monotonic()
         if not self.has_texts:
-            # The runner asks again; it must not wait for an answer to know that this leader lives.
-            self._to_come_again.add(daemon.name)
+            # The runner asks again; it must not wait here to learn that this leader is alive.
+            self._to_reoffer.add(daemon.name)
             return RunsTaken(status=StepStatus.UNAVAILABLE)
-        self._to_come_again.discard(daemon.name)
+        self._to_reoffer.discard(daemon.name)
         if not self._leadership.log.holds_lease(now):
             return RunsTaken(status=StepStatus.UNAVAILABLE)
         offered = _read(message)
-        # Runs of this term go on over a new link, which is on its way (`SampleRuns`).
-        own = [self._scheduler.is_under_way(each) for each in offered]
+        # Runs of this term continue over a new link, which is being opened (`SampleRuns`).
+        own = [self._scheduler.is_in_progress(each) for each in offered]
         taken = [
             is_own or (link is not None and self._scheduler.take_over(each, daemon.name, now))
             for each, is_own in zip(offered, own, strict=True)
@@ -186,12 +187,12 @@
             engine=offered.engine,
             runner=runner,
             after_event=offered.after_event,
-            reason=self._scheduler.why_not_taken_over(offered, now),
+            reason=self._scheduler.refusal_to_take_over(offered, now),
             epoch=self._scheduler.epoch,
         )
 
     def runner_of(self, start: StartRun) -> tuple[str, Runner | None]:
-        """Return who runs a sample; a run that is taken over goes on where it is, or nowhere."""
+        """Return who runs a sample; a run that is taken over stays at its runner."""
         if not start.runner:
             return self._runners.runner_for(start.engine)
         runner = self._runners.links.get(start.runner)
@@ -200,12 +201,12 @@
         return start.runner, runner
 
     def move_to(self, run: int, runner: RunnerLink) -> None:
-        """Take that a run goes on over another link, where it was taken over."""
+        """Record that a run continues over another link, if it was taken over."""
         if run in self._runner_of:
             self._runner_of[run] = runner
 
-    def take_runner(self, run: int) -> RunnerLink | None:
-        """Return where a run that was taken over went on, once; None of other runs."""
+    def pop_runner(self, run: int) -> RunnerLink | None:
+        """Return and forget the runner of a run that was taken over; None for other runs."""
         return self._runner_of.pop(run, None)
 
 
@@ -222,7 +223,7 @@
 
 
 def _earlier_names(message: OfferRuns) -> list[tuple[RunName, ...]]:
-    """Return the earlier names of each run; a runner of an earlier release tells none."""
+    """Return the earlier names of each run; runners of earlier releases do not send any."""
     if not message.earlier_counts:
         return [()] * len(message.samples)
     names = map(RunName, message.earlier_epochs, message.earlier_runs)
--- a/src/pondtiller/gateway/leader/runner_directory.py
+++ b/src/pondtiller/gateway/leader/runner_directory.py
@@ -1,7 +1,7 @@
-"""Finds gateways that run samples, and keeps links to as many as the engines need.
+"""Discovery of gateways that run samples, and links to as many of them as the engines need.
 
-Owns the links of one term. Relies on the replicas' group, which knows the gateways that run
-samples. How many an engine needs, and which serves it, is decided in `rollouts/runner_choice.py`.
+Holds the links of one term. Relies on the replica group, which knows the gateways that run samples.
+How many an engine needs, and which one serves it, is decided in `rollouts/runner_choice.py`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -25,17 +25,16 @@
 from pondtiller.routes.engines import EngineDirectory
 from pondtiller.wire.steplog import DaemonList, ReadDaemons
 
-FIND_SECONDS = 1.0
-"""Between two looks for gateways to link to. Chosen, not measured: one that is lost or new is
-noticed so late at most, and until then others or the leader itself run its engines' samples; the
-list crosses the link only where it has changed."""
-CONNECT_LOOK_SECONDS = 0.01
-"""How often one who waits for a connection looks; a connection in a zone takes 3 ms."""
+DISCOVERY_INTERVAL_SECONDS = 1.0
+"""Interval of the discovery. A lost or new gateway is noticed at most this late, and until then
+others or the leader itself run its engines' samples. The list is sent only if it has changed."""
+CONNECT_CHECK_SECONDS = 0.01
+"""Interval at which a waiting caller checks for a connection; within a zone it takes 3 ms."""
 RECONNECT_PAUSE_SECONDS = 0.05
-"""Between two attempts to reach a runner whose link ended, in seconds."""
+"""Pause between two attempts to reach a runner whose link ended."""
 DAEMONS_CALL_SECONDS = 0.5
-"""How long a replica may take to answer with the gateways; then the next one is asked. Chosen, not
-measured: ten times an answer from another region, and half of `FIND_SECONDS`."""
+"""Time limit of a replica's answer with the gateways, after which the next replica is asked: ten
+times an answer from another region, and half of `DISCOVERY_INTERVAL_SECONDS`."""
 
 AskMember = Callable[[Message, float], Awaitable[Message | None]]
 
@@ -46,11 +45,11 @@
     Parameters
     ----------
     name
-        This gateway, which leads and therefore runs nothing while others do.
+        This gateway, which is the leader and runs samples only while no other gateway does.
     ask_member
-        Calls a replica of the group; None where none answers.
+        Calls a replica of the group; returns None if none answers.
     zone
-        Of this gateway.
+        Zone of this gateway.
     checked, runner_stalled, stalls, holds_lease
         See `RunnerLink`.
     """
@@ -78,7 +77,7 @@
         self._runner_stalled = runner_stalled
         self._stalls = stalls or StallWatch()
         self._holds_lease = holds_lease
-        self._chosen = EngineRunners(engines.places, zone)
+        self._chosen = EngineRunners(engines.topology, zone)
         self._daemons: tuple[Daemon, ...] = ()
         self._revision = 0
         self._connecting: set[str] = set()
@@ -87,7 +86,7 @@
         self._group = Spawner()
 
     def runner_for(self, engine: str) -> tuple[str, Runner]:
-        """Return who serves an engine now, with the name: a connected gateway, else this one."""
+        """Return who serves an engine now, and its name: a connected gateway, or this one."""
         known = self._engines.engines.get(engine)
         connected = {
             name: each.daemon
@@ -100,26 +99,26 @@
         return name, self.links[name]
 
     async def connect_to(self, daemon: Daemon) -> RunnerLink | None:
-        """Return the link to a gateway that has runs for this leader; None where there is none.
+        """Return the link to a gateway that has runs for this leader; None if it cannot be opened.
 
-        This gateway itself may be one: it ran samples for the leader before.
+        This gateway itself may be one, if it ran samples for the previous leader.
         """
         if self._connected(daemon.name) is None and daemon.name not in self._connecting:
             await self._begin_connect(daemon)
         while daemon.name in self._connecting:
-            await curio.sleep(CONNECT_LOOK_SECONDS)
+            await curio.sleep(CONNECT_CHECK_SECONDS)
         return self._connected(daemon.name)
 
     async def reconnect_to(self, daemon: Daemon, give_up_at: float) -> RunnerLink | None:
-        """Return a link to a gateway whose last link ended; None where it is taken for gone.
+        """Return a link to a gateway whose last link ended; None if it is considered gone.
 
         A gateway that refuses connections has ended, and its runs with it. One that does not answer
-        is tried until `give_up_at`, and once at least.
+        is retried until `give_up_at`, at least once.
 
         Parameters
         ----------
         give_up_at
-            In seconds in which this process ran (`StallWatch.running_seconds`).
+            In running time of this process (`StallWatch.running_seconds`).
         """
         while not self._is_closed:
             found = await self.connect_to(daemon)
@@ -135,7 +134,7 @@
         return found if found is not None and not found.link.is_lost else None
 
     def relays(self, most: int) -> list[Link]:
-        """Return the links of some connected gateways, of different zones where there are."""
+        """Return the links of some connected gateways, from different zones if possible."""
         by_zone = {each.daemon.zone: each for each in self.links.values()}
         ordered = [*by_zone.values(), *self.links.values()]
         chosen = {each.daemon.name: each.link for each in ordered if not each.link.is_lost}
@@ -143,18 +142,18 @@
         return list(chosen.values())[:most]
 
     async def run(self) -> None:
-        """Look for gateways and connect to them, until cancelled."""
+        """Discover gateways and connect to them, until cancelled."""
         try:
             while True:
                 await self._read_daemons()
                 await self._connect_wanted()
                 self._chosen.forget(self._engines.engines)
-                await curio.sleep(FIND_SECONDS)
+                await curio.sleep(DISCOVERY_INTERVAL_SECONDS)
         finally:
             await self._group.__aexit__()
 
     async def close(self) -> None:
-        """End all links: the runners hold their runs for the next leader, or end them."""
+        """Close all links: the runners hold their runs for the next leader, or end them."""
         self._is_closed = True
         for each in list(self.links.values()):
             await each.link.drop()
--- a/src/pondtiller/gateway/leader/sample_runs.py
+++ b/src/pondtiller/gateway/leader/sample_runs.py
@@ -1,8 +1,8 @@
-"""Runs and scores of samples that this leader has begun: carries out what the scheduler decides.
+"""Runs and scores of samples of one term: executes the scheduler's decisions.
 
-Owns the tasks of runs and where each run goes on; they end with the term. On which engine a sample
-runs, and when it is moved, is decided by the scheduler (`rollouts/samples.py`); which gateway holds
-the stream, by `run_links.py`.
+Holds the tasks of the runs and where each run executes; they end with the term. Which engine runs a
+sample, and when it is moved, is decided by the scheduler (`rollouts/samples.py`); the links to the
+gateways that hold the streams are in `run_links.py`.
 """
 
 from dataclasses import dataclass
@@ -36,24 +36,24 @@
 from pondtiller.routes.tenants import owned_name
 
 SCORE_RETRY_SECONDS = 0.1
-"""Between a score that failed and the next try. Chosen, not measured: a scorer that is out of order
-is asked ten times a second and sample at most, and a sound one is found at once."""
+"""Pause after a failed score. A broken scorer is called at most ten times a second per sample, and
+a recovered one is used at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunParts:
-    """What runs of one term work with.
+    """Dependencies of the runs of one term.
 
     Attributes
     ----------
     tasks
-        Where runs and scores are tasks of.
+        Task group of runs and scores.
     wake
-        Set once something is to be decided.
+        Set when there is something to decide.
     scaling
-        Told how long whole runs took; None where no engines are ordered.
+        Receives the durations of complete runs; None if no engines are ordered.
     stalls
-        Knows how long this process stood still.
+        Measures pauses of this process.
     """
 
     epoch: int
@@ -70,7 +70,7 @@
 
 
 class SampleRuns:
-    """The runs of one term, by their numbers."""
+    """Runs of one term, by their numbers."""
 
     def __init__(self, parts: RunParts) -> None:
         self._parts = parts
@@ -81,27 +81,27 @@
         self._stalls = parts.stalls.untaken()
 
     def note_stall(self) -> None:
-        """Count no silence of an engine while this process stood still."""
+        """Exclude pauses of this process from the silence of engines."""
         seconds = self._stalls.take()
         if seconds > 0:
             self._scheduler.runs_stalled(list(self._scheduler.runs), seconds, clock.monotonic())
 
     async def start(self, start: StartRun) -> None:
-        """Begin a run, or go on with one that is taken over."""
+        """Start a run, or continue one that is taken over."""
         self._parts.metrics.runs_started += 1
         self._tasks[start.run] = await self._parts.tasks.spawn(self._run, start)
 
     async def score(self, order: ScoreText) -> None:
-        """Begin to have a text judged."""
+        """Start scoring a text."""
         await self._parts.tasks.spawn(self._score, order)
 
     async def cancel(self, order: CancelRun) -> None:
-        """End a run that is wanted no more."""
+        """End a run that is no longer wanted."""
         runner = self._runner_of.get(order.run)
         if runner is None:
             await self._end_own(order.run)
         else:
-            # Where the link has ended, the run is dropped over the next one.
+            # If the link has ended, the run is dropped over the next one.
             self._unwanted.add(order.run)
             await runner.drop(order.run)
         logs.decision(
@@ -114,12 +114,12 @@
         )
 
     async def end_all(self) -> None:
-        """End all runs without waiting for their ends."""
+        """Cancel all runs without waiting for their end."""
         for task in list(self._tasks.values()):
             await task.cancel(blocking=False)
 
     async def _end_own(self, run: int) -> None:
-        """End a run that this gateway has, or that no runner has begun."""
+        """End a run that this gateway executes, or that no runner has started."""
         task = self._tasks.pop(run, None)
         if task is not None:
             await task.cancel()
@@ -138,7 +138,7 @@
         self._runner_of.pop(start.run, None)
         self._unwanted.discard(start.run)
         if outcome.end is not RunEnd.WHOLE:
-            self._parts.offers.take_runner(start.run)
+            self._parts.offers.pop_runner(start.run)
         is_measured = outcome.end is RunEnd.WHOLE and not start.last_event and not start.runner
         if self._parts.scaling is not None and is_measured:
             self._parts.scaling.note_run(work, clock.monotonic() - began)
@@ -176,7 +176,7 @@
     async def _safe_outcome(
         self, start: StartRun, work: SampleWork, engine: Engine | None, runner: Runner | None
     ) -> RunOutcome:
-        """Return how a run ended, also by a fault here: its sample would wait for its end."""
+        """Return how a run ended, even after an internal error: its sample would wait forever."""
         try:
             return await self._outcome(start, work, engine, runner)
         except Exception as error:
@@ -187,7 +187,7 @@
     async def _outcome(
         self, start: StartRun, work: SampleWork, engine: Engine | None, runner: Runner | None
     ) -> RunOutcome:
-        """Have a runner carry out a run; return how it ended."""
+        """Have a runner execute a run; return how it ended."""
         if runner is None:
             return RUNNER_LOST
         if engine is None:
@@ -202,10 +202,10 @@
     async def _run_remotely(
         self, order: RunOrder, work: SampleWork, runner: RunnerLink
     ) -> RunOutcome:
-        """Have a gateway carry out a run, over a new link where the first one ends.
+        """Have a gateway execute a run, over a new link if the first one ends.
 
-        The gateway keeps the run and its engine works on, so the sample begins elsewhere only once
-        the gateway says that it does not have the run, or is taken for gone.
+        The gateway keeps the run and its engine continues, so the sample is started elsewhere only
+        if the gateway says that it does not have the run, or is considered gone.
         """
         self._runner_of[order.run] = runner
         outcome = await runner.run(order, self._take_event)
@@ -234,14 +234,14 @@
         return outcome
 
     def _take_event(self, run: int, number: int, data: str, version: int, at: float) -> bool:
-        """Take an event that came right after a standstill only once that is counted."""
+        """Process an event after accounting for a preceding pause of this process."""
         self.note_stall()
         return self._scheduler.run_event(run, number, data, version, at)
 
     async def _score(self, order: ScoreText) -> None:
         sample = order.sample
         name, runner = self._parts.runners.runner_for(order.engine)
-        own = self._parts.offers.take_runner(order.run)
+        own = self._parts.offers.pop_runner(order.run)
         if own is not None:
             name, runner = own.daemon.name, own
         outcome = await runner.score(order.run, sample.content)
@@ -257,12 +257,12 @@
             )
             await curio.sleep(SCORE_RETRY_SECONDS)
         self._scheduler.scored(order.step, sample.id, outcome.end, outcome.score, outcome.attempts)
-        # The next tick writes it: one message to each replica holds all results until then.
+        # The next tick writes it, so that one message to each replica holds all results until then.
         await self._parts.wake.set()
 
 
 def run_order(start: StartRun, address: Address, is_cold: bool) -> RunOrder:
-    """Return what a runner needs to carry out a run."""
+    """Return everything that a runner needs to execute a run."""
     return RunOrder(
         start.run,
         start.engine,
--- a/src/pondtiller/gateway/leader/scaling_duty.py
+++ b/src/pondtiller/gateway/leader/scaling_duty.py
@@ -1,11 +1,12 @@
-"""The leader's duty to order engines: looks at the need, asks the policy, sends its orders.
+"""Leader's duty to order engines: computes the need, asks the policy, sends its orders.
 
-Owns the state of each service, for one term. How many engines are ordered is decided by the policy
+Holds the state of each service for one term. How many engines are ordered is decided by the policy
 (`rollouts/scaling.py`) from the need (`rollouts/engine_need.py`).
 
-The right to send is the right to order engines: a note in the log before each call, and a pause
-after another gateway's last note, see `order_rights`. Nothing else is kept: an order names a
-number, and a successor sees in the engines' entries what became of it.
+Permission to send is the same as for ordering engines to load versions: a note in the log before
+each call, and a pause after another gateway's last note, see `order_rights`. Nothing else is
+persisted: an order states an absolute number, and a successor sees its effect in the engines'
+entries.
 """
 
 from functools import partial
@@ -32,28 +33,26 @@
 from pondtiller.routes.engines import Engine, EngineDirectory, EngineState
 from pondtiller.routes.table import Scaling
 
-LOOK_SECONDS = 0.5
-"""Between two looks at the need of engines. Chosen, not measured: an engine takes seconds to start,
-and a look goes through all samples of open steps."""
+CHECK_SECONDS = 0.5
+"""Interval at which the need is computed. An engine takes seconds to start, and the computation
+goes through all samples of open steps."""
 CALL_SECONDS = 1.5
-"""How long one call may take; the platform answers in some ms, 70 times that when it is slow."""
+"""Time limit of one call; the platform answers in milliseconds, and 70 times slower at worst."""
 RETRY_SECONDS = 1.0
-"""Pause after the first call that was not taken; twice as long after each further one. Chosen, not
-measured."""
-LONGEST_RETRY_SECONDS = 8.0
-"""After a call that was not taken: each call is paid, and the order is the same a second later.
-Chosen, not measured."""
+"""Pause after the first failed call; doubled with each further one."""
+MAX_RETRY_SECONDS = 8.0
+"""Upper bound of the pause. Each call has a price, and the order is the same a second later."""
 
 Works = dict[tuple[str, str], SampleWork]
 
 
 class ScalingSettings(NamedTuple):
-    """By what engines are ordered.
+    """Settings for ordering engines.
 
     Attributes
     ----------
     lease_seconds
-        Least time between calls of two gateways.
+        Minimum time between calls of two gateways.
     """
 
     policy: PolicyName
@@ -61,14 +60,14 @@
 
 
 class ScalingParts(NamedTuple):
-    """What the duty works with.
+    """Dependencies of the duty.
 
     Attributes
     ----------
     operator
-        From whom engines are ordered.
+        API client through which engines are ordered.
     orders
-        The right to act of this term.
+        Permission of this term's leader to act.
     """
 
     settings: ScalingSettings
@@ -81,12 +80,12 @@
 
 
 class ScalingDuty:
-    """The duty during one term.
+    """Orders engines during one term.
 
     Parameters
     ----------
     works
-        Samples of open steps, as the scheduler keeps them.
+        Samples of open steps, kept by the scheduler.
     """
 
     def __init__(self, parts: ScalingParts, epoch: int, works: Works) -> None:
@@ -100,11 +99,11 @@
         self._not_before: dict[str, float] = {}
 
     def note_run(self, work: SampleWork, seconds: float) -> None:
-        """Take how long an engine took to make a whole sample."""
+        """Record how long an engine took to make a complete sample."""
         self._need(work.service).pace.note_run(work.cost, seconds)
 
     async def run(self) -> None:
-        """Order until cancelled."""
+        """Order engines until cancelled."""
         while True:
             table = self._parts.in_force.table
             now = clock.monotonic()
@@ -112,14 +111,14 @@
                 for row in table.services.values():
                     if row.scaling is not None:
                         await self._serve(row.name, row.scaling, now)
-            await curio.sleep(LOOK_SECONDS)
+            await curio.sleep(CHECK_SECONDS)
 
     async def _serve(self, service: str, scaling: Scaling, now: float) -> None:
-        state = self._look(service, scaling, now)
+        state = self._update_state(service, scaling, now)
         for order in self.policy.orders(state, now):
             await self._order(state, order)
 
-    def _look(self, service: str, scaling: Scaling, now: float) -> ServiceScale:
+    def _update_state(self, service: str, scaling: Scaling, now: float) -> ServiceScale:
         state = self.states.setdefault(service, ServiceScale(service, scaling))
         state.scaling = scaling
         state.evacuated = self._parts.engines.evacuated
@@ -130,9 +129,9 @@
         state.zones = {zone: _count(listed, zone) for zone in zones}
         need = self._need(service)
         works = [work for work in self._works.values() if work.service == service]
-        need.look(works, now, clock.wall())
-        places = need.peak_places(now)
-        # No engine at all is rather a list that lapsed than engines that are gone.
+        need.update(works, now, clock.wall())
+        places = need.peak_slots(now)
+        # An empty list more likely means lost entries than that all engines are gone.
         state.needed = places / _mean_slots(listed) if places is not None and listed else None
         return state
 
@@ -141,7 +140,7 @@
 
     @property
     def _pause(self) -> float:
-        """How long after another gateway's note its call may still count against one from here."""
+        """How long after another gateway's note its call may still conflict with one from here."""
         return pause_after_others(self._parts.settings.lease_seconds, CALL_SECONDS)
 
     async def _order(self, state: ServiceScale, order: ScaleOrder) -> None:
@@ -171,19 +170,19 @@
         if outcome.is_done:
             self._parts.metrics.scale_orders += 1
             self._failures.pop(subject, None)
-            state.ordered(order, now)
+            state.note_order(order, now)
             return
         self._parts.metrics.scale_orders_failed += 1
         if outcome.has_none:
-            state.refused(order, now)
+            state.note_no_capacity(order, now)
             return
         failures = self._failures[subject] = self._failures.get(subject, 0) + 1
-        pause = min(RETRY_SECONDS * 2 ** (failures - 1), LONGEST_RETRY_SECONDS)
+        pause = min(RETRY_SECONDS * 2 ** (failures - 1), MAX_RETRY_SECONDS)
         self._not_before[subject] = now + pause
 
 
 def subject_of(order: ScaleOrder) -> str:
-    """Return the subject of an order: a service in a zone, of both kinds; keys are cut at '/'."""
+    """Return an order's subject: a service in a zone, of both kinds; keys must not contain '/'."""
     return f"scale:{order.service}:{order.zone}".replace("/", "_")
 
 
--- a/src/pondtiller/gateway/leader/step_waiters.py
+++ b/src/pondtiller/gateway/leader/step_waiters.py
@@ -1,6 +1,6 @@
-"""Calls of trainers that wait for a write or for results, by step.
+"""Trainers' calls that wait for a write or for results, by step.
 
-Owns the calls that wait; they end with the term. What they wait for is in the step book.
+Holds the waiting calls of one term. The state that they wait for is in the step book.
 """
 
 from collections.abc import Callable
@@ -11,12 +11,12 @@
 
 
 class StepWaiters:
-    """Calls that wait in one term.
+    """Waiting calls of one term.
 
     Attributes
     ----------
     is_over
-        Whether the term has ended: nothing is waited for any more.
+        Whether the term has ended, so that nothing is waited for any more.
     """
 
     def __init__(self) -> None:
@@ -24,12 +24,12 @@
         self._waiters: dict[str, set[curio.Event]] = {}
 
     async def until(self, step: str, is_true: Callable[[], bool], seconds: float) -> bool:
-        """Wait until something holds of a step; return whether it does.
+        """Wait until a condition on a step holds; return whether it does.
 
         Parameters
         ----------
         seconds
-            How long to wait at most.
+            Longest wait.
         """
         give_up = clock.monotonic() + seconds
         waiter = curio.Event()
@@ -49,12 +49,12 @@
                 self._waiters.pop(step, None)
 
     async def wake(self, step: str) -> None:
-        """Have the calls of a step look again."""
+        """Have the calls of a step check their condition again."""
         for waiter in list(self._waiters.get(step, ())):
             await waiter.set()
 
     async def wake_all(self) -> None:
-        """Have all calls look again."""
+        """Have all calls check their condition again."""
         for waiters in self._waiters.values():
             for waiter in waiters:
                 await waiter.set()
--- a/src/pondtiller/gateway/leader/term.py
+++ b/src/pondtiller/gateway/leader/term.py
@@ -1,10 +1,10 @@
-"""One term of a leader: keeps steps, has their samples run, brings engines to new versions.
+"""One term of a leader: keeps steps, has their samples run, updates engines to new versions.
 
-Owns the parts of one term, and the order in which decisions are made and carried out. What must
-outlive the term is in the step log; the rest ends with it. The rules are in `rollouts/`: which
-sample runs where in `samples.py`, which engine loads which version in `versions.py`; here they are
-asked. Runs are `sample_runs.py`'s, unfinished texts `unfinished_texts.py`'s, orders to
-engines `version_orders.py`'s.
+Holds the parts of one term, and the order in which decisions are made and executed. State that must
+outlive the term is in the step log; everything else ends with it. The rules are in `rollouts/`:
+which sample runs where in `samples.py`, which engine loads which version in `versions.py`. Runs are
+executed by `sample_runs.py`, unfinished texts saved by `unfinished_texts.py`, and orders sent to
+engines by `version_orders.py`.
 """
 
 import curio
@@ -18,7 +18,7 @@
 from pondtiller.gateway.leader.sample_runs import RunParts, SampleRuns
 from pondtiller.gateway.leader.scaling_duty import ScalingDuty, ScalingParts
 from pondtiller.gateway.leader.step_waiters import StepWaiters
-from pondtiller.gateway.leader.tick_pacing import LONGEST_GAP_SECONDS, TickPacing
+from pondtiller.gateway.leader.tick_pacing import MAX_GAP_SECONDS, TickPacing
 from pondtiller.gateway.leader.unfinished_texts import UnfinishedTexts
 from pondtiller.gateway.leader.usage_duty import UsageDuty, UsageParts
 from pondtiller.gateway.leader.version_orders import VersionOrders
@@ -40,7 +40,7 @@
 from pondtiller.routes.cold import QUIET_SECONDS
 from pondtiller.routes.table import RouteTable
 from pondtiller.steplog.entry import Entry
-from pondtiller.steplog.instructions import Won
+from pondtiller.steplog.instructions import ElectionWon
 from pondtiller.usage.reports import USE_PREFIX
 from pondtiller.wire.steplog import (
     ResultsPage,
@@ -50,39 +50,36 @@
 )
 
 TICK_SECONDS = 0.1
-"""Longest time between two decisions of a leader that nothing wakes.
-
-Chosen, not measured: what falls due by time alone (a slow engine, a deadline) is noticed so late at
-most, a third of the lease's heartbeat; a leader at rest does little else."""
+"""Longest time between two decisions of a leader that nothing wakes. Conditions that depend on time
+alone (a slow engine, a deadline) are noticed at most this late, a third of the lease's heartbeat;
+an idle leader does little else."""
 
 STALL_SECONDS = 0.3
-"""A tick that comes this much late says that this gateway stood still, not its engines."""
+"""A tick that is late by this much means that this process was paused, not its engines."""
 
 COMMIT_SECONDS = 2.5
-"""How long a call waits for its write to be on a write quorum; then its outcome is not known.
-
-Less than the 3.0 s that the calling gateway gives the leader (`leader_client.ANSWER_SECONDS`), so
-that it hears that instead of a call that ends without an answer. Chosen, not measured."""
+"""How long a call waits for its write to reach a write quorum; after that its outcome is unknown.
+Less than the 3.0 s that the calling gateway waits for the leader (`leader_client.ANSWER_SECONDS`),
+so that it receives this answer instead of a timeout."""
 
 PROGRESS_SECONDS = 0.5
-"""Between two times at which unfinished texts are left at replicas: a lost leader costs a sample
-0.25 s of its text in the mean. More often takes links and processor from the lease: every text,
-whole, each second to 13 replicas (8 MB, 100 Mbit/s) held heartbeats up for 0.5 s. The figure itself
-is chosen, not measured."""
+"""Interval at which unfinished texts are saved at replicas: the loss of a leader costs a sample
+0.25 s of its text on average. Saving too much delays the lease: sending every text in full each
+second to 13 replicas (8 MB at 100 Mbit/s) delayed heartbeats by 0.5 s."""
 
-KEEP_MARGIN_SECONDS = 10.0
-"""How much longer than promised a closed step stays readable. Chosen, not measured: clocks of two
-leaders may differ by it; it costs the memory of ten seconds' results."""
+RETENTION_MARGIN_SECONDS = 10.0
+"""How much longer than promised a closed step stays readable, to cover a difference between the
+clocks of two leaders. It costs the memory of ten seconds' results."""
 
 EXPIRE_SECONDS = 30.0
-"""Between two looks for steps that nobody reads any more. Chosen, not measured: a step stays so
-much longer at most, and a look goes through all steps."""
+"""Interval of the search for steps that can be removed; a step stays at most this much longer, and
+the search goes through all steps."""
 
 
 class Term:
     """One term of leadership."""
 
-    def __init__(self, parts: DutyParts, won: Won) -> None:
+    def __init__(self, parts: DutyParts, won: ElectionWon) -> None:
         self._parts = parts
         self._leadership = parts.leadership
         self._metrics = parts.metrics
@@ -94,8 +91,8 @@
             self.steward.is_loading,
             parts.leadership.zone,
             parts.cold,
-            parts.is_held,
-            parts.ends,
+            parts.is_quarantined,
+            parts.crash_count,
         )
         self.scheduler.epoch = won.epoch
         self.wake = curio.Event()
@@ -192,7 +189,7 @@
         return SampleRuns(runs)
 
     async def start(self) -> None:
-        """Restore the steps, then begin to work."""
+        """Restore the steps, then start working."""
         steps = [entry for entry in self._won.entries if not entry.key.startswith(USE_PREFIX)]
         for key in self.book.restore(steps, self._won.deferred):
             self._leadership.log.drop(key)
@@ -200,10 +197,10 @@
         await self._group.spawn(keep_running, "duties", self._run)
 
     async def stop(self) -> None:
-        """Cancel everything; calls that wait learn that their outcome is not known."""
+        """Cancel everything; waiting calls are answered with an unknown outcome."""
         self._waiters.is_over = True
         self.scheduler.abandon()
-        # Runners hold what they run for this gateway once their links end, whatever is delayed.
+        # Runners hold their runs for this gateway once the links end, whatever is delayed here.
         await self.runners.close()
         await self._runs.end_all()
         await self._group.__aexit__()
@@ -211,14 +208,14 @@
         await self._waiters.wake_all()
 
     async def _run(self) -> None:
-        """Work until the term ends; begins again where a part of it fails."""
+        """Work until the term ends; restarted if a part of it fails."""
         await self._begin()
         await self._decide()
 
     async def _begin(self) -> None:
-        """Claim the right to order engines, and begin what goes on beside the decisions."""
+        """Claim the permission to order engines, and start the tasks beside the decision loop."""
         await self._watch_group.cancel_all()
-        # Nothing here needs the texts, so engines are ordered and runners found meanwhile.
+        # Nothing here needs the texts, so engines are ordered and runners discovered meanwhile.
         self.orders.claim()
         await self._leadership.flush()
         await self._watch_group.spawn(self._parts.watches.run, self.steward, self.wake)
@@ -230,7 +227,7 @@
         await self._watch_group.spawn(keep_running, "samples", self._restore_samples)
 
     async def _decide(self) -> None:
-        """Decide at each event, and at least each `TICK_SECONDS`."""
+        """Decide at each event, and at least every `TICK_SECONDS`."""
         next_progress = clock.monotonic()
         next_expiry = next_progress + EXPIRE_SECONDS
         due = next_progress + TICK_SECONDS
@@ -243,7 +240,7 @@
             if now > due + STALL_SECONDS:
                 logs.decision("stalled", seconds=now - due, runs=len(self.scheduler.runs))
                 self.scheduler.note_stall(now)
-            due = now + TICK_SECONDS + LONGEST_GAP_SECONDS
+            due = now + TICK_SECONDS + MAX_GAP_SECONDS
             await self._tick(now)
             pacing.ticked(now, clock.monotonic())
             if now >= next_progress:
@@ -256,7 +253,7 @@
             await curio.ignore_after(TICK_SECONDS, self.wake.wait)
 
     async def _restore_samples(self) -> None:
-        """Go on with the samples of open steps where an earlier leader left them."""
+        """Resume the samples of open steps where an earlier leader left them."""
         began = clock.monotonic()
         await self.texts.read(self.book.open_samples())
         read_at = clock.monotonic()
@@ -273,7 +270,7 @@
             schedule_seconds=clock.monotonic() - read_at,
         )
         await self.wake.set()
-        await self._leadership.read_rest()
+        await self._leadership.read_deferred()
 
     def _holds_lease(self) -> bool:
         return self._leadership.log.holds_lease(clock.monotonic())
@@ -288,7 +285,7 @@
             for record in self.book.steps.values():
                 self._schedule(record)
         self.steward.tick(now)
-        self.scheduler.begins_none = self.offers.are_awaited(now)
+        self.scheduler.may_not_start = self.offers.are_awaited(now)
         self.scheduler.tick(now, clock.wall())
         self._note_turns()
         await self._carry_out()
@@ -296,7 +293,7 @@
             await self.wake.set()
 
     def _note_turns(self) -> None:
-        """Tell when not all groups can be whole in time any more, and when they can again."""
+        """Log when not all groups can be completed in time any more, and when they can again."""
         groups = len(self.scheduler.turns)
         if bool(groups) is self._takes_turns:
             return
@@ -324,10 +321,10 @@
             self.steward.step_opened(record.step.model, tokens, record.total)
         self.scheduler.open(record, route, self._table.version)
 
-    # Calls
+    # Calls of trainers and other gateways
 
     async def open(self, step: Step) -> StepStatus:
-        """Take a step; returns once it is durable."""
+        """Add a step; returns once it is durable."""
         step.accepted_at = clock.wall()
         record = self.book.open(step)
         await self._flush()
@@ -336,7 +333,7 @@
         return StepStatus.OK
 
     async def end_step(self, step: str) -> StepStatus:
-        """End a step; its samples stop at once, the answer waits for the log."""
+        """End a step; its samples stop at once, the answer waits for the commit."""
         record = self.book.end(step)
         if record is None:
             return StepStatus.UNKNOWN
@@ -347,7 +344,7 @@
         return StepStatus.OK
 
     async def read(self, step: str, position: int, wait: float) -> ResultsPage:
-        """Return results from a position, held until there is one or the wait is over."""
+        """Return results from a position on; waits until there is one or the time is over."""
         record = self.book.steps.get(step)
         if record is not None and wait > 0 and not record.is_end_written:
             await self._waiters.until(step, lambda: record.visible > position, wait)
@@ -355,14 +352,14 @@
             return ResultsPage(status=StepStatus.UNAVAILABLE)
         return self.book.read(step, position)
 
-    def take_use(self, message: UseTold) -> UseTaken:
-        """Take what a gateway has counted."""
+    def record_usage(self, message: UseTold) -> UseTaken:
+        """Record the usage that a gateway has counted."""
         if self.usage is None:
             return UseTaken(status=StepStatus.OK, epoch=self.epoch)
-        return self.usage.take(message)
+        return self.usage.record(message)
 
     async def committed(self, key: str) -> None:
-        """Take a write that is on a quorum of disks."""
+        """Handle a write that is on a quorum of disks."""
         if await self.orders.committed(key):
             await self.wake.set()
             return
@@ -381,10 +378,10 @@
         await self._waiters.wake(step)
 
     def loaded(self, entries: tuple[Entry, ...]) -> None:
-        """Take values of the log that were not needed to begin."""
+        """Add values of the log whose reading was deferred at the start of the term."""
         self.book.load(entries)
 
-    # Instructions
+    # Execution of decisions
 
     async def _flush(self) -> None:
         now = clock.monotonic()
@@ -394,9 +391,9 @@
         await self._leadership.flush()
 
     async def _carry_out(self) -> None:
-        for order in self.steward.take():
+        for order in self.steward.pop_instructions():
             await self._group.spawn(self._version_orders.carry_out, order)
-        for instruction in self.scheduler.take():
+        for instruction in self.scheduler.pop_instructions():
             match instruction:
                 case StartRun():
                     await self._runs.start(instruction)
@@ -426,11 +423,12 @@
         )
 
     async def _ask_member(self, message: Message, seconds: float) -> Message | None:
-        """Call a replica of the group, the nearest that answers; None where none does.
+        """Call the members of the group, nearest first, until one answers; None if none does.
 
         Parameters
         ----------
         seconds
+            Longest wait for each one, in running time of this process.
             Longest wait for each one, in which this process runs.
         """
         for number in self._leadership.member_links():
@@ -445,10 +443,10 @@
                 return answer
         return None
 
-    # Housekeeping
+    # Expiry of steps
 
     async def _expire(self) -> None:
-        keep = self._parts.keep_seconds + KEEP_MARGIN_SECONDS
+        keep = self._parts.keep_seconds + RETENTION_MARGIN_SECONDS
         for step in self.book.expired(clock.wall(), keep):
             for key in self.book.forget(step):
                 self._leadership.log.drop(key)
--- a/src/pondtiller/gateway/leader/unfinished_texts.py
+++ b/src/pondtiller/gateway/leader/unfinished_texts.py
@@ -1,8 +1,8 @@
-"""Unfinished texts of samples: left at replicas for a successor, and read by it.
+"""Saves unfinished texts of samples at replicas, and reads those that an earlier leader saved.
 
-Owns what each replica was sent in this term. The texts themselves are the scheduler's; which of
-them are worth keeping is decided in `rollouts/progress.py`. A text that is lost costs the time that
-it took to make, no promise.
+Holds what was sent to each replica in this term. The texts themselves belong to the scheduler;
+which of them are worth saving is decided in `rollouts/progress.py`. A lost text costs only the time
+that it took to make.
 """
 
 from collections.abc import Iterable
@@ -20,26 +20,26 @@
 from pondtiller.wire.steplog import ProgressList, ReadProgress, SaveProgress
 
 PROGRESS_CALL_SECONDS = 0.3
-"""How long a member may take to answer with the texts that it has, in seconds in which this process
-runs; then the next one is asked. Bounds what a member that is gone costs a new leader's samples;
-seven ways there and back between regions (40 ms)."""
+"""Time limit of a member's answer with its texts, in running time of this process; after that the
+next member is asked. Limits the delay of a new leader's samples if a member is gone; seven round
+trips between regions (40 ms)."""
 
-MOST_RELAYS = 6
-"""Runners that pass on the texts of a leader that replicas do not hear, each a part of them: 50
-long texts are 1 MB, five times as much to five members, and a successor reads them soon."""
+MAX_RELAYS = 6
+"""Runners that forward the texts of a leader that cannot reach the replicas, each a part of them:
+50 long texts are 1 MB, five times that for five members, and a successor reads them soon."""
 
 HAND_OVER_SECONDS = 0.1
-"""How long a leader whose lease has ended waits for its texts to leave, before it ends its runs.
-A successor begins none before it was elected and has read log and texts: 0.3 s at least."""
+"""How long a leader whose lease has expired waits for its texts to be sent before it ends its runs.
+A successor starts none earlier than 0.3 s later: it must be elected and read the log and texts."""
 
 
 class UnfinishedTexts:
-    """The texts of one term.
+    """Unfinished texts during one term.
 
     Parameters
     ----------
     stalls
-        Knows how long this process was paused, which is no silence of a member.
+        Measures pauses of this process, which do not count as silence of a member.
     """
 
     def __init__(
@@ -58,18 +58,18 @@
         self._saver = ProgressSaver()
 
     async def save(self, is_last: bool = False) -> None:
-        """Leave unfinished texts at replicas, one more than may be lost at a time.
+        """Save unfinished texts at one more replica than may be lost at a time.
 
         Parameters
         ----------
         is_last
-            Whether this leader hands over: texts of young runs are worth keeping then too.
+            Whether this leader hands over; texts of recently started runs are then saved too.
         """
         now = clock.monotonic()
         links = self._leadership.member_links()
         chosen = links[: self._leadership.losses + 1]
         works = self._scheduler.work.values()
-        for news in self._saver.news_of(chosen, works, now, is_last):
+        for news in self._saver.updates_for(chosen, works, now, is_last):
             encoded = encode_message(SaveProgress(epoch=self._epoch, samples=news.samples))
             for number in news.links:
                 link = self._leadership.replicas.link(number)
@@ -77,13 +77,16 @@
                     await link.send(encoded)
 
     async def hand_over(self) -> None:
-        """Have runners leave unfinished texts at replicas that this gateway no longer reaches.
+        """Have runners save unfinished texts at replicas that this gateway can no longer reach.
 
-        A leader that is cut from the replicas goes on until its lease ends, and saves nothing
-        meanwhile. No successor leads before `LEASE_MARGIN_SECONDS` later, so it finds them.
+        A leader that is disconnected from the replicas continues until its lease expires, without
+        saving anything. No successor leads before `LEASE_MARGIN_SECONDS` after that, so it finds
+        these texts.
         """
-        samples = ProgressSaver().news(0, self._scheduler.work.values(), clock.monotonic(), True)
-        relays = self._runners.relays(MOST_RELAYS) if samples else []
+        samples = ProgressSaver().update_for(
+            0, self._scheduler.work.values(), clock.monotonic(), True
+        )
+        relays = self._runners.relays(MAX_RELAYS) if samples else []
         logs.decision("texts_handed_over", epoch=self._epoch, texts=len(samples), to=len(relays))
         for place, link in enumerate(relays):
             part = samples[place :: len(relays)]
@@ -95,8 +98,8 @@
     async def read(self, samples: Iterable[str]) -> None:
         """Read the texts of some samples, each from one member, for the scheduler.
 
-        Reading takes this gateway's processor while engines wait, so a member is asked only for
-        what those before it did not have.
+        Reading takes processor time of this gateway while engines wait, so a member is asked only
+        for texts that the members before it did not have.
         """
         wanted = set(samples)
         for number in self._leadership.member_links():
--- a/src/pondtiller/gateway/leader/usage_duty.py
+++ b/src/pondtiller/gateway/leader/usage_duty.py
@@ -1,10 +1,11 @@
-"""The leader's duty to report use: gathers counts, closes windows, sends each report till it came.
+"""Leader's duty to report usage: collects counts, closes windows, retries each report until taken.
 
-Owns the counts of open windows, for one term; they stand in the step log from `TALLY_SECONDS` on.
-When a window is closed, and when a report counts no more, is decided in `usage/reports.py`.
+Holds the counts of open windows for one term; they are written to the step log every
+`TALLY_SECONDS`. When a window is closed, and when a report is too late, is decided in
+`usage/reports.py`.
 
-The right to send is the right to order engines: a note in the log before each send, and a pause
-after another gateway's last note, see `order_rights`.
+Permission to send is the same as for ordering engines: a note in the log before each call, and a
+pause after another gateway's last note, see `order_rights`.
 """
 
 import random
@@ -35,29 +36,29 @@
 )
 from pondtiller.wire.steplog import UseTaken, UseTold
 
-LOOK_SECONDS = 0.2
-"""Between two looks for windows to close and reports to send. Chosen, not measured: a report counts
-for seconds after its window."""
+CHECK_SECONDS = 0.2
+"""Interval of the check for windows to close and reports to send; a report is accepted for seconds
+after its window."""
 TALLY_SECONDS = 0.5
-"""How long counts are gathered before they go to the log: what a loss of power of all machines
-costs of the window that is open."""
+"""How long counts are collected before they are written to the log: the part of the open window
+that is lost if all machines lose power."""
 CALL_SECONDS = 1.5
-"""How long one send may take; the platform answers in some ms, 50 times that when it is slow."""
+"""Time limit of one call; the platform answers in milliseconds, and 50 times slower at worst."""
 SUBJECT = "usage"
-"""All windows are one subject: a successor waits after the last send of any of them."""
+"""All windows share one subject: a successor waits after the last report of any of them."""
 
 
 class UsageSettings(NamedTuple):
-    """What is to be reported, and when.
+    """What usage is reported, and when.
 
     Attributes
     ----------
     window_seconds
         Length of a window.
     late_seconds
-        A report counts until so long after its window.
+        How long after its window a report is accepted.
     lease_seconds
-        Least time between calls of two gateways.
+        Minimum time between calls of two gateways.
     """
 
     window_seconds: float
@@ -66,16 +67,16 @@
 
 
 class UsageParts(NamedTuple):
-    """What the duty works with.
+    """Dependencies of the duty.
 
     Attributes
     ----------
     operator
-        To whom use is reported.
+        API client to which usage is reported.
     agreed
-        The time of day on which the machines agree.
+        Wall-clock time agreed between the machines.
     orders
-        The right to act of this term.
+        Permission of this term's leader to act.
     """
 
     settings: UsageSettings
@@ -88,12 +89,12 @@
 
 
 class UsageDuty:
-    """The duty during one term.
+    """Reports usage during one term.
 
     Parameters
     ----------
     entries
-        What the log holds of use.
+        Usage entries of the log.
     """
 
     def __init__(self, parts: UsageParts, epoch: int, entries: list[Entry]) -> None:
@@ -116,8 +117,8 @@
         self._next_tally = 0.0
         self._agreed.forget_machines()
 
-    def take(self, message: UseTold) -> UseTaken:
-        """Take what a gateway has counted."""
+    def record(self, message: UseTold) -> UseTaken:
+        """Record the usage that a gateway has counted."""
         now = clock.monotonic()
         self._agreed.heard(message.daemon, message.wall_seconds, now)
         rows = unpack_rows(message.rows)
@@ -130,7 +131,7 @@
         )
 
     def _note_late(self, gateway: str, rows: list[UseRow]) -> None:
-        """Tell of counts that come after their window was closed: they are not reported."""
+        """Log counts that arrive after their window was closed; they are not reported."""
         first = self.reports.next_window
         late = [row for row in rows if first is not None and row.window < first]
         if late:
@@ -139,7 +140,7 @@
             )
 
     def committed(self, key: str) -> None:
-        """Take a write of this duty that is on a quorum of disks."""
+        """Handle a write of this duty that is on a quorum of disks."""
         self.reports.written(key)
         if key.startswith(DONE_PREFIX):
             for each in self.reports.obsolete(key):
@@ -152,7 +153,7 @@
             table = self._in_force.table
             if table is not None and table.tenants and self._leadership.log.holds_lease(now):
                 await self._work(now)
-            await curio.sleep(LOOK_SECONDS)
+            await curio.sleep(CHECK_SECONDS)
 
     async def _work(self, now: float) -> None:
         self._write_tally(now)
@@ -170,7 +171,7 @@
 
     @property
     def _pause(self) -> float:
-        """How long after another gateway's note its call may still count against one from here."""
+        """How long after another gateway's note its call may still conflict with one from here."""
         return pause_after_others(self._settings.lease_seconds, CALL_SECONDS)
 
     def _write_tally(self, now: float) -> None:
--- a/src/pondtiller/gateway/leader/version_orders.py
+++ b/src/pondtiller/gateway/leader/version_orders.py
@@ -1,7 +1,7 @@
-"""Carries out what the steward decides: asks engines what they hold, orders them to load versions.
+"""Executes the steward's decisions: asks engines for their versions, orders them to load versions.
 
-Owns nothing. Which engine loads which version, and when, is decided in `rollouts/versions.py`; by
-what right an order leaves, in `order_waits.py`.
+Stateless. Which engine loads which version, and when, is decided in `rollouts/versions.py`; when an
+order may be sent, in `order_waits.py`.
 """
 
 from functools import partial
@@ -16,16 +16,16 @@
 
 
 class VersionOrders:
-    """The calls to engines of one term.
+    """Calls to engines during one term.
 
     Parameters
     ----------
     epoch
-        Of the term: engines refuse orders of a lower one.
+        Epoch of the term: engines reject orders of a lower one.
     rights
-        By what right an engine is ordered.
+        Permission to order engines.
     wake
-        Set once an engine has answered.
+        Set when an engine has answered.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._wake = wake
 
     async def carry_out(self, order: OrderVersion | AskEngine) -> None:
-        """Ask or order an engine, and hand what it answers to the steward."""
+        """Ask or order an engine, and pass its answer to the steward."""
         if isinstance(order, AskEngine):
             await self._ask(order)
         elif await self._rights.note(order.engine):
@@ -55,11 +55,13 @@
     async def _ask(self, order: AskEngine) -> None:
         report = await self._engines.ask(order.engine)
         if report is not None:
-            self._steward.reported(order.engine, report.models, report.orders_taken, report.is_busy)
+            self._steward.note_report(
+                order.engine, report.models, report.orders_taken, report.is_busy
+            )
 
     async def _order(self, order: OrderVersion) -> None:
         self._metrics.orders += 1
         may_send = partial(self._rights.may_order, order.engine)
         is_taken = await self._engines.order(order, self._epoch, may_send)
         if is_taken is not None:
-            self._steward.answered(order.engine, is_taken, clock.monotonic())
+            self._steward.note_answer(order.engine, is_taken, clock.monotonic())
--- a/src/pondtiller/gateway/link_service.py
+++ b/src/pondtiller/gateway/link_service.py
@@ -1,7 +1,7 @@
-"""What a gateway does with messages of other gateways.
+"""Dispatches messages of other gateways.
 
-Each goes to the part that owns the matter: runs to the run host, unfinished texts to the replicas,
-step calls and the like to what this gateway does as a leader. Owns no state.
+Run messages go to the run host, unfinished texts to the replicas, and calls about steps and shared
+state to the leader's duties.
 """
 
 from betterproto import Message
@@ -28,7 +28,7 @@
 
             async def take(_link: Link, call: int, message: Message) -> None:
                 if isinstance(message, RUN_MESSAGES):
-                    await self._run_host.take(link, message)
+                    await self._run_host.handle(link, message)
                 elif isinstance(message, SaveProgress):
                     await self._replicas.send_to_members(message)
                 else:
--- a/src/pondtiller/gateway/metrics.py
+++ b/src/pondtiller/gateway/metrics.py
@@ -1,13 +1,13 @@
-"""Counters and histograms of a gateway; rendered by prometheus-client only when scraped.
+"""Counters and histograms of a gateway; formatted by prometheus-client only when scraped.
 
-Plain numbers in memory, 0 at each start. Each part counts its own; `pages` reads them.
+Plain numbers in memory, reset at each start. Each part updates its own; `pages` reads them.
 """
 
 from bisect import bisect_left
 from dataclasses import dataclass, field
 
 LATENCY_BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
-"""Upper bounds of the buckets, in seconds. Chosen: doubling, finer where commits lie."""
+"""Upper bounds of the buckets, in seconds; doubling, with finer steps where commits lie."""
 
 
 @dataclass
@@ -25,7 +25,7 @@
 
 @dataclass
 class GatewayMetrics:
-    """What one gateway counts.
+    """Counters of one gateway.
 
     Attributes
     ----------
@@ -34,15 +34,15 @@
     commit_seconds
         From a write to the log until it is on a quorum of disks.
     cold_sends, held_cold
-        Requests that left for cold engines, and that did not, since no share was held.
+        Requests sent to cold engines, and requests not sent since no share was held.
     rate_admitted, rate_refused
         Requests of tenants that have a rate.
     ends_seen
-        Requests that broke off at an engine that had ended.
+        Requests that broke off at an engine that had crashed.
     held_contents
-        Requests that were refused since engines ended under their content.
+        Requests rejected since their content is quarantined.
     runs_taken_over
-        Runs of an earlier leader that this one went on with.
+        Runs of an earlier leader that this one continued.
     """
 
     attempts: int = 0
@@ -67,6 +67,6 @@
     scale_orders_failed: int = 0
 
     def count(self, route: str, outcome: str) -> None:
-        """Count a request's end."""
+        """Count a request's outcome."""
         key = (route, outcome)
         self.answered[key] = self.answered.get(key, 0) + 1
--- a/src/pondtiller/gateway/pages/__init__.py
+++ b/src/pondtiller/gateway/pages/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway shows operators: readiness, figures, the table with status.
+"""Pages for operators: readiness, metrics, and the table with status columns.
 
-Reads the parts of a gateway and changes nothing.
+They read the parts of a gateway and change nothing.
 """
--- a/src/pondtiller/gateway/pages/figure_sources.py
+++ b/src/pondtiller/gateway/pages/figure_sources.py
@@ -1,7 +1,7 @@
-"""Where a gateway's figures come from: gathered from its parts when a page is asked for.
+"""Collects a gateway's figures from its parts when a page is requested.
 
-The names of counters and gauges are those that are scraped, behind `pondtiller_`;
-docs/OPERATIONS.md has a line for each. Owns no state.
+The counters and gauges are exported under these names with the prefix `pondtiller_`;
+docs/OPERATIONS.md describes each.
 """
 
 from typing import NamedTuple
@@ -23,7 +23,7 @@
 
 
 class FigureSources(NamedTuple):
-    """The parts of one gateway that its pages show."""
+    """Parts of one gateway whose figures its pages show."""
 
     name: str
     metrics: GatewayMetrics
@@ -41,7 +41,7 @@
     agreed: AgreedClock
 
     def figures(self, now: float) -> GatewayFigures:
-        """Return what the pages of this gateway show, at a steady time."""
+        """Return the figures at a monotonic time."""
         leader = self.leadership.leader()
         return GatewayFigures(
             name=self.name,
@@ -54,8 +54,8 @@
             counters=self._counters(),
             gauges=self._gauges(now),
             evacuated=tuple(sorted(self.engines.evacuated)),
-            configuration_age_seconds=now - self.watches.configuration.heard_at,
-            engines_age_seconds=now - self.watches.engines.heard_at,
+            configuration_age_seconds=now - self.watches.configuration.last_answer_at,
+            engines_age_seconds=now - self.watches.engines.last_answer_at,
         )
 
     def _counters(self) -> dict[str, int]:
@@ -105,6 +105,6 @@
         }
 
     def _evacuated_running(self) -> int:
-        """Return how many requests this gateway still has at engines of evacuated zones."""
+        """Return the number of this gateway's requests at engines of evacuated zones."""
         engines = self.engines
         return sum(each.running for each in engines.engines.values() if engines.is_evacuated(each))
--- a/src/pondtiller/gateway/pages/figures.py
+++ b/src/pondtiller/gateway/pages/figures.py
@@ -1,6 +1,6 @@
-"""What a gateway's pages show, as values: the pages know nothing of the process.
+"""A gateway's figures as values, which decouples the pages from the process.
 
-Made for each page by `figure_sources`.
+`figure_sources` creates them for each page.
 """
 
 from typing import NamedTuple
@@ -11,30 +11,30 @@
 
 
 class GatewayFigures(NamedTuple):
-    """One gateway's figures at one moment.
+    """Figures of one gateway at one moment.
 
     Attributes
     ----------
     name
-        The gateway.
+        Name of the gateway.
     metrics
         Its counters; a page reads them at once and keeps nothing.
     table
-        Rows in force; None where none are known.
+        Table in force; None if unknown.
     engines
-        Engines that it knows.
+        Known engines.
     leader
-        Name of the leader as far as it is known; empty where none is.
+        Name of the leader; empty if none is known.
     readers
-        Who gave the last answer of a kind of the store's objects: a replica, or `store`.
+        Source of the last answer for each kind of store object: a replica, or `store`.
     store_calls
         Calls to the object store by kind of call.
     counters, gauges
         Further figures by name.
     evacuated
-        Zones that get nothing now.
+        Zones that get no new work.
     configuration_age_seconds, engines_age_seconds
-        How long ago the store, or a mirror of it, was heard.
+        Time since the last answer of the store or of a mirror of it.
     """
 
     name: str
--- a/src/pondtiller/gateway/pages/metrics_text.py
+++ b/src/pondtiller/gateway/pages/metrics_text.py
@@ -1,6 +1,6 @@
-"""A gateway's figures as Prometheus text; loaded at the first scrape, since few need it.
+"""A gateway's figures in Prometheus text format; imported at the first scrape.
 
-Relies on prometheus-client for the format only: values are those of `GatewayFigures`.
+Uses prometheus-client for the format only; the values come from `GatewayFigures`.
 """
 
 from collections.abc import Iterator
@@ -19,13 +19,13 @@
 
 
 class GatewayCollector:
-    """Turns a gateway's figures into metrics."""
+    """Converts a gateway's figures into metrics."""
 
     def __init__(self, figures: GatewayFigures) -> None:
         self._figures = figures
 
     def collect(self) -> Iterator[Metric]:
-        """Return all metrics."""
+        """Yield all metrics."""
         figures, metrics = self._figures, self._figures.metrics
         requests = CounterMetricFamily(
             "pondtiller_requests", "requests by route and outcome", labels=["route", "outcome"]
@@ -53,7 +53,7 @@
 
 
 def link_bytes() -> CounterMetricFamily:
-    """Return the bytes that this process has sent on links, by type of message."""
+    """Return the bytes sent by this process on links, by message type."""
     family = CounterMetricFamily(
         "pondtiller_link_sent_bytes", "bytes sent to other daemons", labels=["message"]
     )
--- a/src/pondtiller/gateway/pages/readiness_page.py
+++ b/src/pondtiller/gateway/pages/readiness_page.py
@@ -1,7 +1,7 @@
-"""What a gateway answers on its readiness address: whether it is ready, its figures, its table.
+"""Answers on a gateway's readiness address: readiness, metrics, and its table.
 
-Ready is what `GatewayParts.is_ready` says: table, engines, and evacuations where they are asked
-for, are known, and it does not stop. Owns no state.
+Readiness is defined by `GatewayParts.is_ready`: the table and the engines are known, also the
+evacuations if they are required, and the gateway is not stopping.
 """
 
 from collections.abc import Callable
@@ -17,20 +17,20 @@
 
 
 class Pages:
-    """The pages of one gateway."""
+    """Pages of one gateway."""
 
     def __init__(self, sources: FigureSources, is_ready: Callable[[], bool]) -> None:
         self._sources = sources
         self._is_ready = is_ready
 
     def render_metrics(self) -> bytes:
-        """Return this gateway's figures as Prometheus text."""
+        """Return this gateway's figures in Prometheus text format."""
         from pondtiller.gateway.pages.metrics_text import render
 
         return render(self._sources.figures(clock.monotonic()))
 
     def render_table(self) -> bytes:
-        """Return the table in force here, filled with status."""
+        """Return the table in force at this gateway with status columns."""
         from pondtiller.gateway.pages.table_view import render
 
         return render(self._sources.figures(clock.monotonic()))
--- a/src/pondtiller/gateway/pages/table_view.py
+++ b/src/pondtiller/gateway/pages/table_view.py
@@ -1,7 +1,7 @@
-"""The table in force at one gateway, filled with status; loaded when somebody looks.
+"""The table in force at one gateway, with status columns; imported when it is first requested.
 
-Counts are this gateway's own: `table status` of another one shows others. Relies on
-`routes.sheet_rows` to turn rows back into the operators' table.
+The counts are those of this gateway only. Uses `routes.sheet_rows` to convert rows back into the
+operators' table.
 """
 
 from pondtiller.gateway.pages.figures import GatewayFigures
@@ -14,7 +14,7 @@
 
 
 def render(figures: GatewayFigures) -> bytes:
-    """Return the table as tab-separated lines, with a line about this gateway first."""
+    """Return the table as tab-separated lines, after a line about this gateway."""
     table = figures.table
     if table is None:
         return b"no table is known yet\n"
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -1,7 +1,7 @@
-"""The parts of one gateway, made from its settings and joined; nothing of them runs yet.
+"""Parts of one gateway, created from its settings and connected; nothing runs yet.
 
-Owns every part for the life of the process. A part that needs a later one is given a function that
-finds it. `process` starts, reloads and stops them; no rule stands here.
+Holds every part for the life of the process. A part that depends on a later one is given a function
+that returns it. `process` starts, reloads and stops the parts; no rules are implemented here.
 """
 
 from betterproto import Message
@@ -43,7 +43,7 @@
 from pondtiller.peers.share_asker import ShareAsker
 from pondtiller.peers.usage_teller import UsageTeller
 from pondtiller.platform import names
-from pondtiller.platform.object_client import LONGEST_REST_SECONDS, ObjectClient
+from pondtiller.platform.object_client import MAX_REST_SECONDS, ObjectClient
 from pondtiller.process.stalls import StallWatch
 from pondtiller.routes.cold import SUBJECT_PREFIX as COLD_PREFIX
 from pondtiller.routes.cold import ColdBound, ColdEngines
@@ -53,7 +53,7 @@
 from pondtiller.routes.table import RouteTable
 from pondtiller.routes.topology import Topology
 from pondtiller.settings import GatewaySettings
-from pondtiller.steplog.fault_tolerance import PlaceRules
+from pondtiller.steplog.fault_tolerance import GroupRules
 from pondtiller.store.evacuation_watch import EvacuationWatch
 from pondtiller.store.mirrored_store import MirroredStore
 from pondtiller.store.news_times import news_times
@@ -63,12 +63,12 @@
 
 
 class GatewayParts:
-    """A gateway's parts.
+    """Parts of a gateway.
 
     Attributes
     ----------
     is_stopping
-        Whether it takes no new callers and does not stand as a leader.
+        Whether it accepts no new callers and does not campaign.
     """
 
     def __init__(self, settings: GatewaySettings) -> None:
@@ -77,7 +77,7 @@
         self.metrics = GatewayMetrics()
         self.places = Topology(settings.regions)
         self.engines = EngineDirectory(self.places)
-        self.store = ObjectClient(to_address(settings.store), HttpClient(LONGEST_REST_SECONDS))
+        self.store = ObjectClient(to_address(settings.store), HttpClient(MAX_REST_SECONDS))
         self._health = StoreHealth()
         self._make_sending()
         self._make_leadership()
@@ -89,7 +89,7 @@
         self._make_pages()
 
     def _make_sending(self) -> None:
-        """Make what sends requests to engines, and what holds them back."""
+        """Create the parts that send requests to engines, and that block them."""
         settings = self.settings
         self.gate = SendGate(self.engines)
         self.stalls = StallWatch(lambda: self.run_host.runs > 0 or self.duties.term is not None)
@@ -117,10 +117,10 @@
         )
 
     def _make_leadership(self) -> None:
-        """Make what stands for leader, and the client of whoever leads."""
+        """Create the parts for leader election, and the client of the current leader."""
         settings = self.settings
         self.sockets = GatewaySockets(settings)
-        rules = PlaceRules(settings.tolerance, self.places)
+        rules = GroupRules(settings.tolerance, self.places)
         self.leadership = Leadership(
             settings.name,
             self.sockets.reached_at,
@@ -135,13 +135,13 @@
         self.steps = LeaderClient(settings.name, self.leadership.leader, self)
 
     def _make_front(self) -> None:
-        """Make what answers callers and trainers, and counts use by tenant."""
+        """Create the parts that answer callers and trainers, and count usage by tenant."""
         settings = self.settings
         streams = StreamForwarder(self.forwarder, self.pool, self.gate)
         self.agreed = AgreedClock()
         usage = usage_settings(settings)
         meter = UseMeter(usage.window_seconds if usage is not None else 0.0)
-        self._keys = KeyFreshness(settings.keys, lambda: self.watches.configuration.heard_at)
+        self._keys = KeyFreshness(settings.keys, lambda: self.watches.configuration.last_answer_at)
         self.rates = TenantRates(settings.rate_excess, self.shares, self._table, self.metrics)
         self.front = Front(
             self.forwarder,
@@ -160,7 +160,7 @@
             )
 
     def _make_runs(self) -> None:
-        """Make what runs samples here for a leader."""
+        """Create the parts that run samples here for a leader."""
         self._runner = SampleRunner(self.gate, self.pool, self.forwarder, self._table, self.cold)
         self.run_host = RunHost(
             self._runner,
@@ -171,7 +171,7 @@
         self.leadership.replicas.subscription = self._subscription()
 
     def _make_store_readers(self) -> None:
-        """Make what reads the store through mirrors, and what a leader follows there."""
+        """Create the parts that read the store through mirrors, and the leader's watches."""
         self.mirrored_store = MirroredStore(
             self.settings.name,
             self.settings.zone,
@@ -198,7 +198,7 @@
         return bounds
 
     def _make_duties(self) -> None:
-        """Make what this gateway does while it leads."""
+        """Create the duties of this gateway while it is the leader."""
         settings = self.settings
         parts = DutyParts(
             leadership=self.leadership,
@@ -217,14 +217,14 @@
             cold=self._cold_engines,
             find_terms=self._rate_terms,
             scaling=scaling_settings(settings),
-            is_held=self.suspects.is_held,
-            ends=self.suspects.ends,
+            is_quarantined=self.suspects.is_quarantined,
+            crash_count=self.suspects.crash_count,
         )
         self.duties = LeaderDuties(parts)
         self.leadership.serve(self.duties)
 
     def _make_watches(self) -> None:
-        """Make what every gateway follows in the store."""
+        """Create the watches that every gateway runs on the store."""
         settings = self.settings
         self.watches = GatewayWatches(
             self.mirrored_store,
@@ -252,7 +252,7 @@
             self.watches.longest_retry,
         )
         self.suspects.take_trial = self.suspect_sharing.take_trial
-        self.suspects.give_trial_back = self.suspect_sharing.give_trial_back
+        self.suspects.return_trial = self.suspect_sharing.return_trial
         self.evacuations: EvacuationWatch | None = None
         if settings.evacuation.within:
             self.evacuations = EvacuationWatch(
@@ -265,7 +265,7 @@
             )
 
     def _make_pages(self) -> None:
-        """Make what gathers the figures that are shown."""
+        """Create the source of the figures that are exported."""
         self.sources = FigureSources(
             name=self.settings.name,
             metrics=self.metrics,
@@ -290,7 +290,7 @@
         return self.leadership.log.is_leading
 
     def _subscription(self) -> Subscribe:
-        """Return what replicas keep of this gateway, for a leader to find it."""
+        """Return this gateway's registration at replicas, by which a leader finds it."""
         place = self.sockets.reached_at
         return Subscribe(
             daemon=self.settings.name,
@@ -310,14 +310,14 @@
         return LeaderlessRuns(
             lambda: replicas.subscription,
             leader_epoch,
-            replicas.hears_quorum,
+            replicas.has_quorum_contact,
             lambda epoch: leader_age(replicas, epoch),
             self.steps.offer_runs,
             self.stalls,
         )
 
     def _rate_terms(self, subject: str) -> RateTerms | None:
-        """Return how this gateway, where it leads, grants shares of a rate."""
+        """Return how this gateway, as the leader, grants shares of a rate."""
         if subject.startswith(COLD_PREFIX):
             return self.cold.terms(subject.removeprefix(COLD_PREFIX))
         if subject.startswith(TENANT_PREFIX):
@@ -325,9 +325,9 @@
         return None
 
     async def _view_changed(self) -> None:
-        """Take a change of the engines or the table."""
-        if not self.leadership.may_stand and self.is_ready():
-            self.leadership.may_stand = True
+        """Handle a change of the engines or of the table."""
+        if not self.leadership.may_campaign and self.is_ready():
+            self.leadership.may_campaign = True
             await self.leadership.wake_up()
         await self.duties.engines_changed()
 
@@ -336,14 +336,14 @@
         return await self.duties.answer(message)
 
     def _is_group_member(self, name: str) -> bool:
-        """Return whether a replica belongs to the group, or may while it is not known."""
+        """Return whether a replica belongs to the group, or may while that is unknown."""
         log = self.leadership.log
         if not log.is_leading or log.next_group is not None:
             return True
         return any(member.name == name for member in log.group.members)
 
     def is_ready(self) -> bool:
-        """Return whether this gateway may get callers and stand as a leader."""
+        """Return whether this gateway may get callers and campaign."""
         if self.is_stopping or self.engines.awaits_evacuations:
             return False
         return self.front.table is not None and self.engines.is_known
--- a/src/pondtiller/gateway/process.py
+++ b/src/pondtiller/gateway/process.py
@@ -1,8 +1,8 @@
-"""One gateway process: its start, what it serves, its reload and stop.
+"""One gateway process: start, tasks, reload and stop.
 
-Owns the tasks of the process, each of which is begun again where it fails. A stop gives leadership
-back first, takes callers for a while, then refuses them and waits for what is open; at the latest
-it ends before the platform ends it.
+Holds the tasks of the process, each of which is restarted if it fails. A stop first gives up
+leadership, accepts callers for a while, then rejects them and waits for open requests. It ends
+before the platform kills the process.
 """
 
 import curio
@@ -21,15 +21,15 @@
 from pondtiller.settings import GatewaySettings
 
 NOT_READY_SECONDS = 3.0
-"""From the request to stop until callers are refused: time for the platform to see that the gateway
-is not ready and to send callers elsewhere. Chosen, not measured."""
+"""Time from the stop request until callers are rejected: the platform needs it to notice that the
+gateway is not ready and to send callers elsewhere."""
 STOP_MARGIN_SECONDS = 0.7
-"""Before `durations.stop`, when the platform ends the process: open requests are left then, and the
-last counts of use are sent. Chosen, not measured; `LAST_USE_SECONDS` of it are for the counts."""
-OPEN_LOOK_SECONDS = 0.05
-"""Between two looks at whether anything is open: a stop takes this much longer at most. Chosen."""
+"""Time before `durations.stop`, when the platform kills the process, at which open requests are
+abandoned and the last usage counts are sent, which take `LAST_USE_SECONDS` of it."""
+OPEN_CHECK_SECONDS = 0.05
+"""Interval of the check for open requests; a stop takes at most this much longer."""
 LAST_USE_SECONDS = 0.4
-"""Of the margin before a stopping process is ended."""
+"""Part of `STOP_MARGIN_SECONDS` for sending the last usage counts."""
 
 
 class GatewayProcess(GatewayParts):
@@ -97,7 +97,7 @@
         logs.decision("stopped", daemon=settings.name, open=self.front.open_exchanges)
 
     async def stop(self) -> None:
-        """Stop as planned: no new callers, a successor for the leader, answers to the end."""
+        """Stop as planned: no new callers, a successor for the leader, complete answers."""
         if self.is_stopping:
             return
         self.is_stopping = True
@@ -111,22 +111,22 @@
         await curio.sleep(max(0.0, min(began + NOT_READY_SECONDS, end) - clock.monotonic()))
         self.front.is_closed = True
         while self._has_open_work() and clock.monotonic() < end:
-            await curio.sleep(OPEN_LOOK_SECONDS)
+            await curio.sleep(OPEN_CHECK_SECONDS)
         await self._tell_last_use()
         await self._stopped.set()
 
     def _has_open_work(self) -> bool:
-        """Return whether callers wait, or a trial is to be given back where it told nothing."""
-        return bool(self.front.open_exchanges or self.forwarder.trials.unsettled)
+        """Return whether callers wait, or the outcome of a trial must still be recorded."""
+        return bool(self.front.open_exchanges or self.forwarder.trials.unsettled_trials)
 
     async def _tell_last_use(self) -> None:
-        """Tell what was counted since the last time; nobody else knows it."""
+        """Send the counts since the last report; no other process has them."""
         leader = self.leadership.leader()
         if self.teller is not None and leader is not None:
             await curio.ignore_after(LAST_USE_SECONDS, self.teller.tell, leader.epoch)
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take changed settings; addresses and names stay until the next start."""
+        """Apply changed settings; addresses and names stay until the next start."""
         logs.decision("reloaded", daemon=settings.name, changed=settings != self.settings)
         self.settings = settings
 
--- a/src/pondtiller/gateway/runs/__init__.py
+++ b/src/pondtiller/gateway/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Runs of samples that a gateway holds for a leader."""
+"""Runs of samples that a gateway executes for a leader."""
--- a/src/pondtiller/gateway/runs/executed_run.py
+++ b/src/pondtiller/gateway/runs/executed_run.py
@@ -1,7 +1,7 @@
-"""A run that this gateway executes: its order, what its engine made, and who gets the news.
+"""A run that this gateway executes: its order, its engine's events, and its listener.
 
-Owns what was made in this run, in memory alone; earlier events of the text are the leader's. Does
-not talk to the engine (`sample_runner.py`).
+Holds the events of this run in memory; earlier events of the text are kept by the leader. Does not
+communicate with the engine (`sample_runner.py`).
 """
 
 from collections.abc import Callable
@@ -15,49 +15,49 @@
 
 
 class RunListener(Protocol):
-    """Who gets the news of a run: the link of a leader."""
+    """Receiver of a run's events: the link of a leader."""
 
     def take_event(self, event: RunEvent) -> None:
-        """Take an event."""
+        """Process an event."""
 
     async def take_end(self, ended: EndedRun) -> None:
-        """Take the end of a run."""
+        """Process the end of a run."""
 
     async def take_score(self, scored: ScoredRun) -> None:
-        """Take what became of scoring a whole text."""
+        """Process the result of scoring a complete text."""
 
 
 class RunTask(Protocol):
-    """The task that carries a run out."""
+    """Task that executes a run."""
 
     async def cancel(self, *, blocking: bool) -> bool:
-        """End it; `blocking` waits until it has ended."""
+        """Cancel it; `blocking` waits until it has ended."""
 
 
 @dataclass
 class ExecutedRun:
-    """A run that goes on here, whoever leads.
+    """A run in progress at this gateway, independent of which gateway is the leader.
 
     Attributes
     ----------
     order, epoch
-        What the leader asked for, and its epoch; they change with the leader.
+        The leader's order and epoch; they change with the leader.
     began_after, text_by
-        The event after which the run began, and the run that made it.
+        The event after which the run started, and the run that made that event.
     earlier_names
-        Names that it had under earlier leaders.
+        Names that the run had under earlier leaders.
     events
-        What the engine made in this run.
+        Events that the engine made in this run.
     listener
-        Who gets the news; None while its leader is lost.
+        Receiver of the events; None while the leader is lost.
     outcome, score
-        How the run ended, and what became of scoring its text; None before.
+        Outcome of the run, and result of scoring its text; None until known.
     is_dropped
-        Whether nobody wants it any more.
+        Whether the run is no longer wanted.
     task
-        Carries it out; None before it is spawned.
+        Task that executes the run; None before it is spawned.
     running_seconds
-        Returns the seconds in which this process ran, by which events are timed.
+        Returns the running time of this process, used to timestamp events.
     """
 
     order: RunOrder
@@ -75,11 +75,11 @@
 
     @property
     def name(self) -> RunName:
-        """Return its name among the runs of all leaders."""
+        """Name of the run among the runs of all leaders."""
         return RunName(self.epoch, self.order.run)
 
-    def take(self, _run: int, number: int, data: str, version: int, _now: float) -> bool:
-        """Take an event of the engine; False where the run is to stop."""
+    def take_event(self, _run: int, number: int, data: str, version: int, _now: float) -> bool:
+        """Process an event of the engine; return False if the run must stop."""
         if self.is_dropped:
             return False
         event = RunEvent(self.order.run, number, data, version, self.running_seconds())
@@ -89,19 +89,19 @@
         return True
 
     async def ended(self, outcome: RunOutcome) -> None:
-        """Take that the engine has ended."""
+        """Record that the engine has ended the run."""
         self.outcome = outcome
         if self.listener is not None:
             await self.listener.take_end(EndedRun(self.order.run, outcome.end, outcome.detail))
 
     async def scored(self, score: ScoreOutcome) -> None:
-        """Take what became of scoring."""
+        """Record the result of scoring."""
         self.score = score
         if self.listener is not None:
             await self.listener.take_score(scored_run(self.order.run, score))
 
-    async def go_on(self, order: RunOrder, epoch: int, listener: RunListener) -> None:
-        """Go on under another leader, which gets what it does not know yet."""
+    async def continue_under(self, order: RunOrder, epoch: int, listener: RunListener) -> None:
+        """Continue under another leader, which receives the events that it does not have."""
         before = self.name
         self.order, self.epoch, self.listener = order, epoch, listener
         if self.name != before:
@@ -116,7 +116,7 @@
             await self.scored(self.score)
 
     async def drop(self, waits: bool = False) -> None:
-        """Stop, since nobody wants it any more; `waits` until its engine has been left."""
+        """Stop a run that is no longer wanted; `waits` until its engine has been left."""
         self.is_dropped = True
         self.listener = None
         if self.task is not None:
@@ -124,5 +124,5 @@
 
 
 def scored_run(run: int, score: ScoreOutcome) -> ScoredRun:
-    """Return the news of a score for a leader."""
+    """Return the message about a score for a leader."""
     return ScoredRun(run, score.end, score.score, score.detail, score.attempts, score.request)
--- a/src/pondtiller/gateway/runs/leader_runs.py
+++ b/src/pondtiller/gateway/runs/leader_runs.py
@@ -1,8 +1,8 @@
-"""The runs that one leader has begun here over one link, and the news of them to it.
+"""Runs that one leader has started at this gateway over one link, and the messages about them.
 
-Owns these runs while the link lasts, and the news that are gathered for it. When the link ends, or
-the leader has not been heard for `LEADER_SILENT_SECONDS`, the runs are left to `RunHost`: a
-successor may begin the same samples at other engines. Relies on `executed_run.py` for each run.
+Holds these runs while the link lasts, and the events that are batched for it. If the link ends, or
+nothing was received from the leader for `LEADER_SILENT_SECONDS`, the runs are passed to `RunHost`,
+since a successor may start the same samples at other engines. Each run is an `executed_run.py`.
 """
 
 from typing import Protocol
@@ -17,107 +17,109 @@
 from pondtiller.process.spawner import Spawner
 from pondtiller.process.stalls import StallWatch
 from pondtiller.rollouts.run_holding import LEADER_SILENT_SECONDS, LeaveReason, LostLeader
-from pondtiller.rollouts.run_news import EndedRun, NewsGatherer, RunEvent, ScoredRun
+from pondtiller.rollouts.run_news import EndedRun, RunEvent, RunNewsBatch, ScoredRun
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, RunName
 from pondtiller.wire.steplog import BeginRun, RunNews
 
 NEWS_SECONDS = 0.25
-"""How long events are gathered, in seconds; texts are saved every 0.5 s, so no more often than that
-helps."""
+"""Interval at which events are batched; texts are saved every 0.5 s, so more frequent messages do
+not help."""
 
 
 class RunStarter(Protocol):
-    """What starts runs here, and has those that no leader has."""
+    """Starts runs at this gateway, and keeps those without a leader."""
 
     @property
     def stalls(self) -> StallWatch:
-        """How long this process stood still."""
+        """Pauses of this process."""
 
     async def start(self, order: RunOrder, listener: RunListener, epoch: int) -> ExecutedRun:
-        """Begin a run at its engine."""
+        """Start a run at its engine."""
 
-    def take_held(self, order: RunOrder) -> ExecutedRun | None:
-        """Return the run of an order's sample that no leader has; it has one now."""
+    def take_held_run(self, order: RunOrder) -> ExecutedRun | None:
+        """Return the run of an order's sample that has no leader; the caller becomes its leader."""
 
-    async def leave(self, runs: list[ExecutedRun], lost: LostLeader, reason: LeaveReason) -> None:
+    async def leave_runs(
+        self, runs: list[ExecutedRun], lost: LostLeader, reason: LeaveReason
+    ) -> None:
         """Keep runs whose leader is lost, or end them."""
 
 
 class LeaderRuns:
-    """The runs that one leader's link has begun here.
+    """Runs that one leader has started at this gateway over its link.
 
     Attributes
     ----------
     runs
-        By the leader's number, those whose engines work.
+        Runs whose engines are working, by the leader's number.
     judged
-        The same of those whose texts are whole and wait for their scorers.
-    heard_at
-        When the leader was last heard on the link, in seconds of the steady clock.
-    heard_running
-        The same in seconds in which this process ran.
+        Runs whose texts are complete and wait for their scores, by the leader's number.
+    last_message_at
+        When the last message of the leader arrived, in monotonic time.
+    last_message_running
+        The same in running time of this process.
     epoch
-        Of the leader's last message that began a run; 0 before.
+        Epoch of the leader's last message that started a run; 0 before that.
     """
 
     def __init__(self, host: RunStarter, link: Link) -> None:
         self.runs: dict[int, ExecutedRun] = {}
         self.judged: dict[int, ExecutedRun] = {}
-        self.heard_at = clock.monotonic()
-        self.heard_running = host.stalls.running_seconds()
+        self.last_message_at = clock.monotonic()
+        self.last_message_running = host.stalls.running_seconds()
         self.epoch = 0
         self._host = host
         self._link = link
-        self._news = NewsGatherer()
+        self._news = RunNewsBatch()
         self._group = Spawner()
-        self._teller: object | None = None
+        self._sender_task: object | None = None
         self._has_news = curio.Event()
         self._stalls = host.stalls.untaken()
 
-    def note_heard(self) -> None:
-        """Take that the leader said something."""
-        self.heard_at = clock.monotonic()
-        self.heard_running = self._host.stalls.running_seconds()
+    def note_message(self) -> None:
+        """Record that a message of the leader arrived."""
+        self.last_message_at = clock.monotonic()
+        self.last_message_running = self._host.stalls.running_seconds()
 
     async def begin(self, message: BeginRun) -> None:
-        """Begin a run, or go on with a held one; its outcome follows with the news."""
+        """Start a run, or continue a held one; its outcome follows in a `RunNews` message."""
         self.epoch = message.epoch
         order = _order(message)
-        held = self._host.take_held(order)
+        held = self._host.take_held_run(order)
         if held is not None and held.name != order.held:
             await held.drop()
             held = None
         if order.held == NO_RUN:
             self.runs[order.run] = await self._host.start(order, self, self.epoch)
         else:
-            await self._go_on(order, held)
-        await self._tell_on()
+            await self._continue_held(order, held)
+        await self._start_sending()
 
-    async def _tell_on(self) -> None:
-        if self._teller is None:
-            self._teller = await self._group.spawn(self._tell)
+    async def _start_sending(self) -> None:
+        if self._sender_task is None:
+            self._sender_task = await self._group.spawn(self._send_batches)
 
-    async def _go_on(self, order: RunOrder, held: ExecutedRun | None) -> None:
+    async def _continue_held(self, order: RunOrder, held: ExecutedRun | None) -> None:
         if held is None:
             await self.take_end(EndedRun(order.run, RunEnd.STALE, "no longer held"))
             return
         self.runs[order.run] = held
-        await held.go_on(order, self.epoch, self)
+        await held.continue_under(order, self.epoch, self)
 
     async def drop(self, run: int) -> None:
-        """End a run that is wanted no more, and say so once its engine has been left.
+        """End a run that is no longer wanted, and confirm it once its engine has been left.
 
-        The leader begins the sample elsewhere only then.
+        The leader starts the sample elsewhere only after that.
         """
         dropped = self.runs.pop(run, None) or self.judged.pop(run, None)
         self._news.drop(run)
         if dropped is not None:
             await dropped.drop(waits=True)
         await self.take_end(EndedRun(run, RunEnd.STALE, "dropped"))
-        await self._tell_on()
+        await self._start_sending()
 
-    def hand_over(self, name: RunName) -> ExecutedRun | None:
-        """Return the run of a name, which goes on at another link; None where it is not here."""
+    def release(self, name: RunName) -> ExecutedRun | None:
+        """Return the run of a name, which continues at another link; None if it is not here."""
         for runs in (self.runs, self.judged):
             for number, run in runs.items():
                 if run.name == name:
@@ -126,42 +128,42 @@
         return None
 
     async def refuse(self, run: int, reason: str) -> None:
-        """Tell at once that a run is not begun here."""
+        """Report at once that a run is not started here."""
         self._news.ended.append(EndedRun(run, RunEnd.STALE, reason))
-        await self.tell_now()
+        await self.send_batch()
 
-    async def tell_ends(self, reason: str) -> None:
-        """Tell at once that all runs end here, before the link is ended."""
+    async def send_ends(self, reason: str) -> None:
+        """Report at once that all runs end here, before the link is closed."""
         self._news.ended += [EndedRun(run, RunEnd.STALE, reason) for run in self.runs]
-        await self.tell_now()
+        await self.send_batch()
 
-    async def tell_now(self) -> None:
-        """Send what was gathered, before the link is ended here."""
-        await self._link.send(self._take_news())
+    async def send_batch(self) -> None:
+        """Send the batched events, before the link is closed here."""
+        await self._link.send(self._next_batch())
 
-    def _take_news(self) -> RunNews:
-        """Return the news; the leader counts no silence of an engine while this process stood."""
-        news = self._news.take(self._host.stalls.running_seconds())
+    def _next_batch(self) -> RunNews:
+        """Return the batch; the leader excludes this process's pauses from engines' silence."""
+        news = self._news.pop_message(self._host.stalls.running_seconds())
         news.stalled_milliseconds = round(self._stalls.take() * 1000)
         return news
 
     async def end(self) -> None:
-        """Take the end of the link."""
+        """Handle the end of the link."""
         await self._leave_runs(LeaveReason.LINK_ENDED)
         await self._group.__aexit__()
 
     async def _leave_runs(self, reason: LeaveReason) -> None:
         runs = [*self.runs.values(), *self.judged.values()]
-        self.runs, self.judged, self._teller = {}, {}, None
-        lost = LostLeader(self.epoch, self.heard_at, self.heard_running)
-        await self._host.leave(runs, lost, reason)
+        self.runs, self.judged, self._sender_task = {}, {}, None
+        lost = LostLeader(self.epoch, self.last_message_at, self.last_message_running)
+        await self._host.leave_runs(runs, lost, reason)
 
     def take_event(self, event: RunEvent) -> None:
-        """Take an event of an engine."""
+        """Batch an event of an engine."""
         self._news.events.append(event)
 
     async def take_end(self, ended: EndedRun) -> None:
-        """Take that an engine ended a run."""
+        """Batch the end of a run."""
         run = self.runs.pop(ended.run, None)
         if run is not None and ended.end is RunEnd.WHOLE:
             self.judged[ended.run] = run
@@ -169,33 +171,33 @@
         await self._has_news.set()
 
     async def take_score(self, scored: ScoredRun) -> None:
-        """Take what became of scoring a whole text."""
+        """Batch the result of scoring a complete text."""
         self.judged.pop(scored.run, None)
         self._news.scored.append(scored)
         await self._has_news.set()
 
-    async def _tell(self) -> None:
-        """Send news while there are runs or scores are made; ends and scores are sent at once."""
+    async def _send_batches(self) -> None:
+        """Send events while there are runs or pending scores; ends and scores are sent at once."""
         while self.runs or self.judged or self._news.ended or self._news.scored:
-            silent_at = self.heard_at + LEADER_SILENT_SECONDS
+            silent_at = self.last_message_at + LEADER_SILENT_SECONDS
             wait = min(NEWS_SECONDS, max(0.0, silent_at - clock.monotonic()))
             await curio.ignore_after(wait, self._has_news.wait)
             self._has_news.clear()
             if self._is_leader_silent():
-                # What the leader said while this process stood still waits to be read.
+                # Messages that arrived while this process was paused wait to be read.
                 await self._host.stalls.read_first()
             if self._is_leader_silent():
                 await self._leave_leader()
                 return
-            await self._link.send(self._take_news())
-        self._teller = None
+            await self._link.send(self._next_batch())
+        self._sender_task = None
 
     def _is_leader_silent(self) -> bool:
-        return clock.monotonic() >= self.heard_at + LEADER_SILENT_SECONDS
+        return clock.monotonic() >= self.last_message_at + LEADER_SILENT_SECONDS
 
     async def _leave_leader(self) -> None:
-        """Leave a leader that is silent; ends the link, so that it hears of it."""
-        await self.tell_now()
+        """Give up a silent leader; closes the link, so that the leader notices."""
+        await self.send_batch()
         await self._leave_runs(LeaveReason.LEADER_SILENT)
         await self._link.drop()
 
--- a/src/pondtiller/gateway/runs/leaderless_runs.py
+++ b/src/pondtiller/gateway/runs/leaderless_runs.py
@@ -1,8 +1,8 @@
-"""Runs that this gateway keeps after their leader was lost, offered to the one that follows.
+"""Runs that this gateway keeps after their leader was lost, and offers to the next leader.
 
-Owns them, in memory alone, until a leader takes them or they must end. What becomes of them is
-decided in `rollouts/run_holding.py`; this module looks, asks, offers and ends. Their engines go on
-meanwhile, and what they make is kept in each run (`executed_run.py`).
+Holds them in memory until a leader takes them or they must end. What happens to them is decided in
+`rollouts/run_holding.py`; this module checks, asks, offers and ends. Their engines continue
+meanwhile, and their events are kept in each run (`executed_run.py`).
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -15,11 +15,11 @@
 from pondtiller.process.spawner import Spawner
 from pondtiller.process.stalls import StallWatch
 from pondtiller.rollouts.run_holding import (
-    LONGEST_SECONDS,
+    MAX_SECONDS,
     NEXT_LEADER_SECONDS,
     RETURNED_LEADER_SECONDS,
     SAME_LEADER_SECONDS,
-    TAKEN_SECONDS,
+    TAKE_OVER_START_SECONDS,
     HoldChoice,
     HoldReason,
     HoldStep,
@@ -32,11 +32,11 @@
 )
 from pondtiller.wire.steplog import OfferRuns, RunsTaken, Subscribe
 
-LOOK_SECONDS = 0.05
-"""In seconds: how soon a new leader is noticed. It waits 0.2 s for offers (`HELD_WAIT_SECONDS`)."""
+CHECK_SECONDS = 0.05
+"""Interval of the check for a new leader, which waits 0.2 s for offers (`OFFER_WAIT_SECONDS`)."""
 OFFER_PAUSE_SECONDS = 0.05
-"""In seconds, between two offers that were refused at once: nobody listens there, or it reads texts
-first."""
+"""Pause between two offers that were refused at once: nothing listens there yet, or the leader is
+still reading texts."""
 
 AskLeader = Callable[[OfferRuns, float], Awaitable[RunsTaken | None]]
 
@@ -48,15 +48,15 @@
     Attributes
     ----------
     run, lost
-        The run, and the leader that began it.
-    taken_until
-        Until when a leader that took it may begin it anew, in seconds in which this process ran;
-        None while none did.
+        The run, and the leader that started it.
+    start_due_at
+        Until when the leader that took the run over must start it, in running time of this process;
+        None if no leader has taken it.
     """
 
     run: ExecutedRun
     lost: LostLeader
-    taken_until: float | None = None
+    start_due_at: float | None = None
 
 
 class LeaderlessRuns:
@@ -65,30 +65,31 @@
     Parameters
     ----------
     subscription
-        Returns who this daemon is, and where a leader finds it.
+        Returns this daemon's identity and the address at which a leader can reach it.
     leader_epoch
-        Returns the epoch of the leader that replicas name; None while they name none.
-    hears_quorum
-        Returns whether most members of the replicas' group were heard lately.
+        Returns the epoch of the leader that replicas name; None if they name none.
+    has_quorum_contact
+        Returns whether messages of a quorum of the replica group arrived recently.
     leader_age
-        Returns how long ago the replicas heard the leader of an epoch; None where it is not known.
+        Returns how long ago replicas received the last message of an epoch's leader; None if
+        unknown.
     ask_leader
-        Calls the leader that replicas name; None where none answers.
+        Calls the leader that replicas name; returns None without an answer.
     stalls
-        Knows how long this process stood still. What others said meanwhile waits in its sockets:
-        waits for their answers count the seconds in which it ran.
+        Measures pauses of this process. Messages that arrive during one wait in the sockets, so
+        waits for answers count running time only.
 
     Attributes
     ----------
     runs
-        By the name under which the sample's text is kept.
+        Runs by the name under which the sample's text is stored.
     """
 
     def __init__(
         self,
         subscription: Callable[[], Subscribe],
         leader_epoch: Callable[[], int | None],
-        hears_quorum: Callable[[], bool],
+        has_quorum_contact: Callable[[], bool],
         leader_age: Callable[[int], Awaitable[float | None]],
         ask_leader: AskLeader,
         stalls: StallWatch | None = None,
@@ -96,19 +97,19 @@
         self.runs: dict[str, LeaderlessRun] = {}
         self._subscription = subscription
         self._leader_epoch = leader_epoch
-        self._hears_quorum = hears_quorum
+        self._hears_quorum = has_quorum_contact
         self._leader_age = leader_age
         self._ask_leader = ask_leader
         self.stalls = stalls or StallWatch(lambda: bool(self.runs))
         self._group = Spawner()
-        self._is_looking = False
+        self._is_watching = False
         self._offering: set[LostLeader] = set()
-        self._lost_by_all: set[LostLeader] = set()
+        self._lost_by_replicas: set[LostLeader] = set()
 
     async def hold(
         self, runs: Iterable[ExecutedRun], lost: LostLeader, reason: LeaveReason
     ) -> None:
-        """Take runs whose leader is lost."""
+        """Take over runs whose leader is lost."""
         held = 0
         for run in runs:
             run.listener = None
@@ -119,45 +120,47 @@
                 self.runs[run.order.sample] = LeaderlessRun(run, lost)
                 held += 1
             else:
-                # A leader of an earlier version gives no name: nobody could ask for it.
+                # Leaders of earlier versions do not send the name, so nobody could ask for it.
                 await run.drop()
         if not held:
             return
         logs.decision("runs_held", runs=held, epoch=lost.epoch, reason=reason)
         await self.stalls.begin()
-        if not self._is_looking:
-            self._is_looking = True
-            await self._group.spawn(self._look)
+        if not self._is_watching:
+            self._is_watching = True
+            await self._group.spawn(self._watch)
 
-    def take(self, sample: str) -> ExecutedRun | None:
+    def pop(self, sample: str) -> ExecutedRun | None:
         """Return a run that a leader wants; it is no longer held."""
         held = self.runs.pop(sample, None)
         return held.run if held is not None else None
 
     async def end(self, reason: str) -> None:
-        """End all."""
+        """End all runs."""
         await self._end(list(self.runs.values()), reason)
 
     async def close(self) -> None:
         """End all tasks, since the process ends."""
         await self._group.__aexit__()
 
-    async def _look(self) -> None:
+    async def _watch(self) -> None:
         try:
             while self.runs:
                 await self.stalls.read_first()
-                await self._end_untaken(self.stalls.running_seconds())
-                for lost in {each.lost for each in self.runs.values() if not each.taken_until}:
+                await self._end_unstarted(self.stalls.running_seconds())
+                for lost in {each.lost for each in self.runs.values() if not each.start_due_at}:
                     await self._decide(lost)
-                await curio.sleep(LOOK_SECONDS)
+                await curio.sleep(CHECK_SECONDS)
         except Exception as error:
             await self.end(f"{type(error).__name__}: {error}")
         finally:
-            self._is_looking = False
-            self._lost_by_all.clear()
+            self._is_watching = False
+            self._lost_by_replicas.clear()
 
-    async def _end_untaken(self, now: float) -> None:
-        late = [each for each in self.runs.values() if each.taken_until and now > each.taken_until]
+    async def _end_unstarted(self, now: float) -> None:
+        late = [
+            each for each in self.runs.values() if each.start_due_at and now > each.start_due_at
+        ]
         await self._end(late, KeepEnd.NOT_BEGUN)
 
     async def _decide(self, lost: LostLeader) -> None:
@@ -166,12 +169,14 @@
             stalled_before = self.stalls.stalled_seconds()
             age = await self._leader_age(lost.epoch)
             if age is None and self.stalls.stalled_seconds() > stalled_before:
-                # The answers wait to be read: the next look asks again.
+                # The answers still wait to be read; the next check asks again.
                 return
             running = self.stalls.running_seconds()
-            choice = after_asking(age, may_have_returned(lost, lost in self._lost_by_all, running))
+            choice = after_asking(
+                age, may_have_returned(lost, lost in self._lost_by_replicas, running)
+            )
         if choice.step is HoldStep.KEEP:
-            self._lost_by_all.add(lost)
+            self._lost_by_replicas.add(lost)
         elif choice.step is HoldStep.END:
             await self._end(self._of(lost), choice.reason)
         elif choice.step is HoldStep.OFFER and lost not in self._offering:
@@ -182,7 +187,7 @@
         return next_step(lost, self._leader_epoch(), self._hears_quorum(), clock.monotonic())
 
     def _of(self, lost: LostLeader) -> list[LeaderlessRun]:
-        return [each for each in self.runs.values() if each.lost == lost and not each.taken_until]
+        return [each for each in self.runs.values() if each.lost == lost and not each.start_due_at]
 
     async def _offer(self, lost: LostLeader, reason: str) -> None:
         """Offer the runs of one lost leader; nothing else waits for the answer."""
@@ -200,9 +205,7 @@
             has_returned = reason == HoldReason.LEADER_RETURNED
             limit = RETURNED_LEADER_SECONDS if has_returned else SAME_LEADER_SECONDS
         late_at = self.stalls.running_seconds() + limit
-        answer = await self.stalls.call(
-            limit, self._ask_leader, self._message(held), LONGEST_SECONDS
-        )
+        answer = await self.stalls.call(limit, self._ask_leader, self._message(held), MAX_SECONDS)
         if answer is not None and len(answer.taken) == len(held):
             await self._answered(held, answer, reason)
         elif self.stalls.running_seconds() >= late_at:
@@ -211,11 +214,11 @@
             await curio.sleep(OFFER_PAUSE_SECONDS)
 
     async def _answered(self, held: list[LeaderlessRun], answer: RunsTaken, reason: str) -> None:
-        until = self.stalls.running_seconds() + TAKEN_SECONDS
+        until = self.stalls.running_seconds() + TAKE_OVER_START_SECONDS
         left = []
         for each, is_taken in zip(held, answer.taken, strict=True):
             if is_taken:
-                each.taken_until = until
+                each.start_due_at = until
             else:
                 left.append(each)
         logs.decision(
--- a/src/pondtiller/gateway/runs/run_host.py
+++ b/src/pondtiller/gateway/runs/run_host.py
@@ -1,11 +1,11 @@
-"""Runs samples for leaders elsewhere: holds their streams, and tells what they make.
+"""Runs samples for leaders elsewhere: reads the engines' streams and reports their events.
 
-A run belongs to the link on which it was begun (`leader_runs.py`). When its leader is lost it is
-kept for the one that follows (`leaderless_runs.py`), or ends where that is not known in time.
+A run belongs to the link on which it was started (`leader_runs.py`). If its leader is lost it is
+kept for the next one (`leaderless_runs.py`), or ends if there is none in time.
 
-Owns which runs go on here, in memory alone: they end with this gateway. What a run made is the
-leader's to keep; this gateway keeps what was made in the runs that it has. Does not choose engines
-and does not continue a run that breaks: both are the leader's.
+Holds the runs in progress here in memory; they end with this gateway. Persisting what a run made is
+the leader's task. Does not choose engines and does not continue a broken run: both are done by the
+leader.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 from pondtiller.process import logs
 from pondtiller.process.spawner import Spawner
 from pondtiller.process.stalls import StallWatch
-from pondtiller.rollouts.run_holding import LeaveReason, LostLeader, why_not_begun
+from pondtiller.rollouts.run_holding import LeaveReason, LostLeader, begin_refusal
 from pondtiller.rollouts.sample_work import NO_RUN, RunEnd, ScoreEnd
 from pondtiller.wire.steplog import BeginRun, DropRun, KeepRuns, ScoreAnswer, ScoreSample
 
@@ -28,21 +28,21 @@
 
 
 class RunHost:
-    """Takes the messages of leaders to this gateway as a runner.
+    """Handles the messages of leaders to this gateway as a runner.
 
     Parameters
     ----------
     highest_epoch
-        Returns the highest epoch that this gateway has heard of from replicas.
+        Returns the highest epoch that replicas have reported to this gateway.
     held
-        Keeps runs whose leader is lost; None where they end with it.
+        Keeps runs whose leader is lost; None if they end with it.
     stalls
-        Knows how long this process stood still; a watch of its own where it is None.
+        Measures pauses of this process; by default a new watch.
 
     Attributes
     ----------
     by_link
-        The runs of each leader's link.
+        Runs of each leader's link.
     """
 
     def __init__(
@@ -62,16 +62,16 @@
 
     @property
     def runs(self) -> int:
-        """Runs that go on here."""
+        """Number of runs in progress here."""
         held = len(self.held.runs) if self.held is not None else 0
         return held + sum(len(each.runs) for each in self.by_link.values())
 
-    async def take(self, link: Link, message: Message) -> None:
-        """Take a message that begins, drops or keeps runs."""
+    async def handle(self, link: Link, message: Message) -> None:
+        """Handle a message that starts, drops or keeps runs."""
         of_leader = self.by_link.get(link)
         if of_leader is None:
             of_leader = self.by_link[link] = LeaderRuns(self, link)
-        of_leader.note_heard()
+        of_leader.note_message()
         match message:
             case BeginRun():
                 if await self._may_begin(link, message):
@@ -80,7 +80,7 @@
                 await of_leader.drop(message.run)
 
     async def start(self, order: RunOrder, listener: RunListener, epoch: int) -> ExecutedRun:
-        """Begin a run at its engine."""
+        """Start a run at its engine."""
         await self.stalls.begin()
         run = ExecutedRun(order, epoch, listener, order.last_event, order.text_by)
         run.running_seconds = self.stalls.running_seconds
@@ -88,11 +88,11 @@
         return run
 
     async def _run(self, run: ExecutedRun) -> None:
-        """Run a sample; a text that is made whole here is judged at once."""
+        """Run a sample; a text that is completed here is scored at once."""
         try:
-            outcome = await self.runner.run(run.order, run.take)
+            outcome = await self.runner.run(run.order, run.take_event)
         except Exception as error:
-            outcome = RunOutcome(RunEnd.BROKEN, self._note_error(run, error))
+            outcome = RunOutcome(RunEnd.BROKEN, self._log_error(run, error))
         if run.is_dropped:
             return
         await run.ended(outcome)
@@ -101,29 +101,31 @@
         try:
             score = await self.runner.score(run.order.run, run.order.content)
         except Exception as error:
-            score = ScoreOutcome(ScoreEnd.LOST, "", self._note_error(run, error))
+            score = ScoreOutcome(ScoreEnd.LOST, "", self._log_error(run, error))
         await run.scored(score)
 
-    def _note_error(self, run: ExecutedRun, error: Exception) -> str:
-        """Log a fault of this program; the leader goes on with the sample elsewhere."""
+    def _log_error(self, run: ExecutedRun, error: Exception) -> str:
+        """Log an internal error; the leader continues the sample elsewhere."""
         reason = f"{type(error).__name__}: {error}"
         logs.decision(
             "hosted_run_failed", run=run.order.run, engine=run.order.engine, reason=reason
         )
         return reason
 
-    def take_held(self, order: RunOrder) -> ExecutedRun | None:
+    def take_held_run(self, order: RunOrder) -> ExecutedRun | None:
         """Return the held run of an order's sample; it is no longer held.
 
-        The leader may notice the end of a link first: the run is still at that link then.
+        The leader may notice the end of a link first; the run is then still at that link.
         """
-        held = self.held.take(order.sample) if self.held is not None else None
+        held = self.held.pop(order.sample) if self.held is not None else None
         if held is not None or order.held == NO_RUN:
             return held
-        at_links = (each.hand_over(order.held) for each in self.by_link.values())
+        at_links = (each.release(order.held) for each in self.by_link.values())
         return next((run for run in at_links if run is not None), None)
 
-    async def leave(self, runs: list[ExecutedRun], lost: LostLeader, reason: LeaveReason) -> None:
+    async def leave_runs(
+        self, runs: list[ExecutedRun], lost: LostLeader, reason: LeaveReason
+    ) -> None:
         """Hold runs whose leader is lost, or end them."""
         if self.held is not None and not self.is_stopping:
             await self.held.hold(runs, lost, reason)
@@ -134,9 +136,9 @@
             await run.drop()
 
     async def _may_begin(self, link: Link, message: BeginRun) -> bool:
-        """Return whether a run may begin; the link of a leader that is deposed is ended."""
+        """Return whether a run may start; the link of a deposed leader is closed."""
         highest = self._highest_epoch()
-        reason = why_not_begun(message.epoch, highest, self.is_stopping)
+        reason = begin_refusal(message.epoch, highest, self.is_stopping)
         if reason is None:
             return True
         await self.by_link[link].refuse(message.run, reason)
@@ -152,18 +154,18 @@
         return False
 
     async def lost(self, link: Link) -> None:
-        """Take the end of a link."""
+        """Handle the end of a link."""
         of_leader = self.by_link.pop(link, None)
         if of_leader is not None:
             await of_leader.end()
 
     async def stop(self) -> None:
-        """End all runs, since this daemon stops; their leaders go on elsewhere."""
+        """End all runs, since this daemon stops; their leaders continue them elsewhere."""
         self.is_stopping = True
         if self.held is not None:
             await self.held.end(LeaveReason.STOPS)
         for link, of_leader in list(self.by_link.items()):
-            await of_leader.tell_ends(LeaveReason.STOPS)
+            await of_leader.send_ends(LeaveReason.STOPS)
             await link.drop()
 
     async def close(self) -> None:
@@ -173,7 +175,7 @@
             await self.held.close()
 
     async def score(self, message: ScoreSample) -> ScoreAnswer:
-        """Have a finished sample judged."""
+        """Have a finished sample scored."""
         outcome = await self.runner.score(0, message.content)
         return ScoreAnswer(
             end=outcome.end.value,
--- a/src/pondtiller/gateway/runs/sample_runner.py
+++ b/src/pondtiller/gateway/runs/sample_runner.py
@@ -1,8 +1,8 @@
-"""Carries out one run of a sample at an engine, and one request to a scorer.
+"""Executes a run of a sample at an engine, or a request to a scorer.
 
-Owns nothing: connections belong to the pool, and what a run made to its `ExecutedRun` or to the
-leader. Relies on `SendGate` for whether the engine may still get a sample. Does not choose engines
-for samples and does not try again: that is the leader's (`rollouts/samples.py`).
+Stateless: connections belong to the pool, and events to the `ExecutedRun` or the leader. Relies on
+`SendGate` for whether the engine may still get a sample. Does not choose engines for samples and
+does not retry: the leader does (`rollouts/samples.py`).
 """
 
 import math
@@ -17,7 +17,7 @@
 from pondtiller.gateway.callers.sending import EngineSender
 from pondtiller.gateway.callers.table_in_force import TableReading
 from pondtiller.gateway.engines.cold_sends import ColdSends
-from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, HeldBackError
+from pondtiller.gateway.engines.engine_pool import EngineConnection, EnginePool, SendBlockedError
 from pondtiller.hashing import content_digest
 from pondtiller.httpio.client import BrokenError, NotSentError
 from pondtiller.platform import engine_answers
@@ -31,43 +31,43 @@
 from pondtiller.routes.table import RouteTable
 from pondtiller.wire.steplog import Sample, Scorer
 
-ANSWERED_ENDS = (RunEnd.WHOLE, RunEnd.FAILED, RunEnd.IMPOSSIBLE)
-"""Ends of a run that an engine told, and so outlived."""
+SURVIVED_ENDS = (RunEnd.WHOLE, RunEnd.FAILED, RunEnd.IMPOSSIBLE)
+"""Ends of a run that the engine reported itself, which shows that it survived the run."""
 
 EventSink = Callable[[int, int, str, int, float], bool]
 
 
 class RunOrder(NamedTuple):
-    """One run of a sample on one engine.
+    """Order to run a sample on an engine.
 
     Attributes
     ----------
     run
-        Number that the leader gave it.
+        Number given by the leader.
     engine, address
-        The engine's identifier and place, as the leader knows them.
+        The engine's identifier and address, as known to the leader.
     host
         Name of the service as callers know it.
     last_event
-        The run goes on after this event; 0 where it begins.
+        The run continues after this event; 0 if it starts from the beginning.
     expected_version
-        Version that must make the rest; None where any may.
+        Version that must make the rest; None for any.
     content
         The encoded `Sample`.
     tenant
-        Whose sample it is; empty where the step has no tenant.
+        Tenant of the sample; empty if the step has none.
     is_cold
-        Whether the leader takes the engine for cold.
+        Whether the leader considers the engine cold.
     sample
-        Name under which the sample's unfinished text is kept.
+        Name under which the sample's unfinished text is stored.
     held
-        Name of a run that the runner offered and that goes on; `NO_RUN` where one is begun.
+        Name of a run in progress that the runner offered; `NO_RUN` if a new one is started.
     text_by
-        The run that made the text's last event.
+        Run that made the last event of the text.
     is_wanted
-        False where a run that its runner kept is only to be ended.
+        False if a run that its runner kept is only to be ended.
     table_version
-        Version of the table by which the engine was chosen; 0 where it is not told.
+        Version of the table by which the engine was chosen; 0 if not stated.
     step_path
         Path of the sample's step.
     """
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOutcome:
-    """How a run ended, with the status where an engine gave one."""
+    """Outcome of a run, with the HTTP status if the engine answered."""
 
     end: RunEnd
     detail: str
@@ -100,14 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoreOutcome:
-    """How a scorer's request ended.
+    """Outcome of a scorer's request.
 
     Attributes
     ----------
     attempts
-        Failures after which a sample is given up.
+        Number of failures after which the sample is given up.
     request
-        Identifier of the scorer's request; empty where none was to be made.
+        Identifier of the scorer's request; empty if none was needed.
     """
 
     end: ScoreEnd
@@ -123,11 +123,11 @@
     Parameters
     ----------
     find_table
-        Returns the rows in force.
+        Returns the table in force.
     gate
-        Asked right before a sample leaves.
+        Checked right before a sample is sent.
     cold
-        Waits for a share of what a cold engine may get; None where no engine is ever cold.
+        Waits for a share of a cold engine's rate; None if no engine is ever cold.
     """
 
     def __init__(
@@ -146,7 +146,7 @@
         self._find_table = find_table
 
     async def run(self, order: RunOrder, take: EventSink) -> RunOutcome:
-        """Run a sample on an engine; `take` gets each event and says whether to go on."""
+        """Run a sample on an engine; `take` receives each event and returns whether to continue."""
         if self._gate.engines.has_left(order.engine, clock.monotonic()):
             return RunOutcome(RunEnd.REFUSED, BlockReason.LEAVING.value)
         connection: EngineConnection | None = None
@@ -154,20 +154,20 @@
         suspects = self._forwarder.suspects
         await self._prepare(order)
         try:
-            # The leader watches a run's time: no deadline holds it back here.
+            # The leader limits the duration of a run, so there is no deadline here.
             connection = await self._sender.take(order.engine, order.address, content, math.inf)
-            if self._is_overruled(order):
+            if self._is_excluded_by_newer_table(order):
                 await self._pool.give_back_unused(connection)
                 connection = None
                 return RunOutcome(RunEnd.REFUSED, BlockReason.OLD_TABLE.value)
             outcome = await self._stream(order, connection, take)
-            if outcome.end in ANSWERED_ENDS:
+            if outcome.end in SURVIVED_ENDS:
                 await suspects.note_answer(content)
             if outcome.end is not RunEnd.STALE:
                 await self._pool.give_back(connection)
                 connection = None
             return outcome
-        except HeldBackError as error:
+        except SendBlockedError as error:
             return RunOutcome(RunEnd.REFUSED, error.reason.value)
         except NotSentError as error:
             return RunOutcome(RunEnd.BROKEN, f"unreachable({error})")
@@ -178,8 +178,8 @@
             if connection is not None:
                 await connection.close()
 
-    def _is_overruled(self, order: RunOrder) -> bool:
-        """Return whether a newer table than the leader's keeps the sample from the engine."""
+    def _is_excluded_by_newer_table(self, order: RunOrder) -> bool:
+        """Return whether a table newer than the leader's excludes the engine for the sample."""
         table = self._find_table()
         engine = self._gate.engines.engines.get(order.engine)
         if table is None or engine is None or not 0 < order.table_version < table.version:
@@ -189,7 +189,7 @@
 
     async def _prepare(self, order: RunOrder) -> None:
         if self._cold is not None and order.is_cold:
-            self._cold.told(order.engine)
+            self._cold.note_cold_report(order.engine)
         await self._sender.prepare(order.engine, math.inf)
 
     async def _stream(
@@ -223,7 +223,7 @@
         return RunOutcome(RunEnd.WHOLE, str(head.status))
 
     async def score(self, _run: int, content: bytes) -> ScoreOutcome:
-        """Have a finished sample judged; one that has no scorer is so without a score."""
+        """Have a finished sample scored; without a scorer it succeeds without a score."""
         scorer = Sample().parse(content).scorer
         if not scorer.id:
             return ScoreOutcome(ScoreEnd.SCORED, "", "no scorer")
--- a/src/pondtiller/gateway/sockets.py
+++ b/src/pondtiller/gateway/sockets.py
@@ -1,7 +1,7 @@
-"""A gateway's listeners: for callers, for the platform's questions, for other gateways.
+"""A gateway's listeners: for callers, for the platform's readiness checks, for other gateways.
 
-Owns the three sockets, bound before the process starts. Figures are also served at the `metrics`
-address, whose socket `httpio.metrics_server` owns.
+Holds the three sockets, bound before the process starts. Metrics are also served at the `metrics`
+address, whose socket belongs to `httpio.metrics_server`.
 """
 
 from pondtiller.address import Address, to_address
@@ -21,11 +21,11 @@
 
     @property
     def reached_at(self) -> Address:
-        """Where the other gateways reach this one."""
+        """Address at which other gateways reach this one."""
         return to_address(self._announced) if self._announced else self.address(self.links)
 
     def address(self, listener: Listener) -> Address:
-        """Return where a listener is bound."""
+        """Return the address of a listener."""
         host, port = listener.getsockname()
         return Address(host, port)
 
--- a/src/pondtiller/gateway/stale_configuration.py
+++ b/src/pondtiller/gateway/stale_configuration.py
@@ -1,7 +1,7 @@
-"""Notes in the log when a gateway's configuration may be older than it is allowed to be.
+"""Logs when a gateway's configuration may be older than its bound.
 
-Owns only whether it was so at the last look. It decides nothing: requests are routed by the table
-in force, however old it is.
+Holds only whether that was so at the last check. It has no effect on routing: requests are routed
+by the table in force, however old it is.
 """
 
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 
 
 class StaleConfigurationLog:
-    """Writes a line when the configuration becomes older than its bound, and when it no longer is.
+    """Logs when the configuration becomes older than its bound, and when it no longer is.
 
     Parameters
     ----------
     within_seconds
-        From the acknowledgement of a change until it must be in force.
+        Time from the acknowledgement of a change until it must be in force.
     reader
-        Returns who is followed for the configuration: a replica's name, or `store`.
+        Returns the source of the configuration: a replica's name, or `store`.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self._is_stale = False
 
     def look(self) -> None:
-        """Compare the age of what is known with the bound; nothing before the first table."""
+        """Compare the configuration's age with the bound; no-op before the first table."""
         version, age = self._in_force.read()
         is_stale = bool(version) and age > self._within_seconds
         if is_stale == self._is_stale:
--- a/src/pondtiller/gateway/tests/let_through.py
+++ b/src/pondtiller/gateway/tests/admissions.py
@@ -1,7 +1,7 @@
-"""Notes when requests are let through, at all gateways of a test's system.
+"""Records when requests are admitted, at all gateways of a test's system.
 
-Times of arrival or of answers say less: all of a system runs in one process here, and where that
-stands still for a moment, what left in two seconds arrives in one.
+Arrival or answer times are less exact: the whole system runs in one process here, and if that is
+paused, requests sent over two seconds arrive within one.
 """
 
 import pytest
@@ -9,8 +9,8 @@
 from pondtiller.coordination.rate_shares import HeldRate
 
 
-class LetThrough:
-    """When requests were let through, by the rate's subject."""
+class Admissions:
+    """Times at which requests were admitted, by the rate's key."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.times: dict[str, list[float]] = {}
--- a/src/pondtiller/gateway/tests/ending_engines.py
+++ b/src/pondtiller/gateway/tests/ending_engines.py
@@ -1,4 +1,4 @@
-"""Engines that end, put in place of a small system's."""
+"""Stand-in engines that crash, used in place of a small system's engines."""
 
 from pondtiller.gateway.tests.system import System
 from pondtiller.standins.ending_engine import EndingEngine
@@ -7,7 +7,7 @@
 async def replace_engines(
     system: System, service: str, count: int, keeps_name: bool = False
 ) -> list[EndingEngine]:
-    """Put engines that end in place of a service's."""
+    """Replace a service's engines by engines that crash."""
     for engine in (*system.app, *system.llm):
         if engine.service == service:
             system.store.remove("servers", engine.identifier)
--- a/src/pondtiller/gateway/tests/system.py
+++ b/src/pondtiller/gateway/tests/system.py
@@ -1,4 +1,4 @@
-"""A whole small system for tests: store, engines, replicas and gateways in one process."""
+"""A complete small system for tests: store, engines, replicas and gateways in one process."""
 
 import json
 import sys
@@ -38,7 +38,7 @@
 
 
 class System:
-    """Everything that one test needs."""
+    """All processes of one test."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
     async def until(self, is_true: Callable[[], bool], seconds: float = 8.0) -> None:
         give_up = clock.monotonic() + seconds
         while not is_true():
-            assert clock.monotonic() < give_up, "it did not become true in time"
+            assert clock.monotonic() < give_up, "the condition did not become true in time"
             await curio.sleep(0.02)
 
     async def until_led(self) -> GatewayProcess:
@@ -155,7 +155,7 @@
         return HttpResponse(head.status_code, b"".join(pieces), headers=received)
 
     async def submit(self, step: str, samples: int = 4, oldest: int = 1, gateway: int = 0) -> int:
-        """Submit a step; return the status."""
+        """Submit a step; return the HTTP status."""
         body = json.dumps(step_body(step, samples, oldest)).encode()
         answer = await self.call(
             "POST", "/rollout/x", body, gateway, "train.example", request_id=step
@@ -163,13 +163,13 @@
         return answer.status
 
     async def read(self, step: str, position: int = 0, gateway: int = 0) -> Any:
-        """Read results; None where the answer is no success."""
+        """Read results; None unless the call succeeds."""
         target = f"/pondtiller/lots/{step}?since_rev={position}"
         answer = await self.call("GET", target, b"", gateway, "train.example", wait_ms="300")
         return answer.json() if answer.status == 200 else None
 
     async def read_all(self, step: str, total: int, gateway: int = 0) -> list[Any]:
-        """Read until everything is listed."""
+        """Read until all results are listed."""
         found: list[Any] = []
         give_up = clock.monotonic() + 10.0
         while len(found) < total:
@@ -180,18 +180,18 @@
         return found
 
 
-LOOK_SECONDS = 0.02
+CHECK_SECONDS = 0.02
 LOGGED_STALL_SECONDS = 0.1
-"""In seconds: from here on a stall gets a line of its own among the decisions. Chosen, not
-measured: a third of the shortest wait that a leader's term rests on."""
+"""From this length on a pause of the process is logged among the decisions; a third of the shortest
+wait that a leader's term depends on."""
 
 
 async def note_stalls(stalls: list[float]) -> None:
-    """Note by how much a short sleep is late, each time."""
+    """Record by how much a short sleep is late, each time."""
     while True:
         began = time.monotonic()
-        await curio.sleep(LOOK_SECONDS)
-        late = time.monotonic() - began - LOOK_SECONDS
+        await curio.sleep(CHECK_SECONDS)
+        late = time.monotonic() - began - CHECK_SECONDS
         stalls.append(late)
         if late >= LOGGED_STALL_SECONDS:
             logs.decision("test_process_stalled", seconds=late)
@@ -211,8 +211,8 @@
 ) -> None:
     """Run one test against a fresh system."""
 
-    # Shown where a test fails: the decisions of all parts, in the order in which they were made.
-    # A test's own handler gets them too.
+    # Shown if a test fails: the decisions of all parts in order. A test's own handler receives them
+    # too.
     decisions = logbook.StreamHandler(
         sys.stdout, level="INFO", format_string=logs.FORMAT, bubble=True
     )
@@ -227,7 +227,7 @@
             await curio.timeout_after(40.0, test, system)
         finally:
             await watch.cancel()
-            # Shown where a test fails: all parts share this process, and waits of theirs are real.
+            # Shown if a test fails: all parts share this process, and their waits are real.
             longest = max(system.stalls, default=0.0)
             print(f"this process stood still for {longest:.3f} s at the longest")
             await system.stop()
--- a/src/pondtiller/gateway/tests/test_announced_links.py
+++ b/src/pondtiller/gateway/tests/test_announced_links.py
@@ -1,4 +1,4 @@
-"""Programs tell the others the address at which these reach them, not the one listened on."""
+"""Programs tell others the address at which they can be reached, not the one they listen on."""
 
 from pathlib import Path
 
@@ -41,14 +41,14 @@
     )
 
 
-def test_an_announced_address_is_told(tmp_path: Path) -> None:
+def test_an_announced_address_is_sent(tmp_path: Path) -> None:
     told = gateway("10.1.2.3:4567")._subscription()
     assert (told.host, told.port) == ("10.1.2.3", 4567)
     member = replica(tmp_path, "10.1.2.3:4567").replica.member
     assert (member.host, member.port) == ("10.1.2.3", 4567)
 
 
-def test_the_bound_address_is_told_where_none_is_announced(tmp_path: Path) -> None:
+def test_the_bound_address_is_sent_if_none_is_announced(tmp_path: Path) -> None:
     process = gateway("")
     told = process._subscription()
     assert process.sockets.address(process.sockets.links) == Address(told.host, told.port)
--- a/src/pondtiller/gateway/tests/test_cold.py
+++ b/src/pondtiller/gateway/tests/test_cold.py
@@ -1,11 +1,11 @@
-"""Cold engines in a whole small system: what reaches them in any second, from all gateways."""
+"""Cold engines in a small system: requests per second from all gateways together."""
 
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from pondtiller.gateway.tests.let_through import LetThrough
+from pondtiller.gateway.tests.admissions import Admissions
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.process import clock
 from pondtiller.process.spawner import Spawner
@@ -16,14 +16,14 @@
 
 RATE = 14
 CALLS = 50
-"""To each of two gateways at once: five times what two cold engines may get in a second."""
+"""Calls to each of two gateways at once: five times what two cold engines may get in a second."""
 
 NO_SECOND_TRY_SECONDS = 60.0
-"""Longer than any request may take."""
+"""Longer than any request may take, so that there are no hedges."""
 
 
 class TimedEngine(StandInEngine):
-    """Notes when requests reach it."""
+    """Records when requests arrive."""
 
     def __init__(self, identifier: str, service: str) -> None:
         super().__init__(identifier, service)
@@ -41,7 +41,7 @@
 
 
 async def start(system: System, cold: dict[str, float]) -> list[TimedEngine]:
-    """Put timed engines in place of the system's; those named are cold for so many seconds."""
+    """Replace the system's engines by timed ones; those named are cold for so many seconds."""
     timed = [TimedEngine(f"t{number}", "app") for number in range(2)]
     samplers = [TimedEngine(f"s{number}", "llm") for number in range(2)]
     for engine in (*system.app, *system.llm):
@@ -61,7 +61,7 @@
         engines = process.engines.engines
         await system.until(lambda engines=engines: names <= set(engines))
         await system.until(lambda process=process: process.front.table is not None)
-    # Until a leader knows that nobody holds anything of an earlier one.
+    # Until a new leader may grant shares, since none of an earlier leader can be held any more.
     began = clock.monotonic()
     await system.until(lambda: clock.monotonic() > began + 3.0)
     assert leader.duties.term is not None
@@ -83,25 +83,25 @@
     return statuses
 
 
-def check(engines: list[TimedEngine], through: LetThrough) -> None:
-    """Check that nothing reached cold engines but what was let through, and that within bounds."""
+def check(engines: list[TimedEngine], through: Admissions) -> None:
+    """Check that cold engines got only admitted requests, and no more than the bound."""
     for engine in engines:
         subject = subject_of(engine.identifier)
         assert len(engine.times) == through.count(subject)
         assert through.most_in_a_second(subject) <= RATE
 
 
-def test_a_burst_at_two_gateways_stays_within_what_cold_engines_bear(
+def test_a_burst_at_two_gateways_stays_within_the_rates_of_cold_engines(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    through = LetThrough(monkeypatch)
+    through = Admissions(monkeypatch)
 
     async def test(system: System) -> None:
         engines = await start(system, {"t0": 60.0, "t1": 60.0})
         statuses = await call_all(system)
         assert set(statuses) <= {200, 503}
         check(engines[:2], through)
-        # Cold engines do get work: at least half of what they bear in one second.
+        # Cold engines do get work: at least half of their rate in one second.
         assert statuses.count(200) >= RATE
         assert sum(each.metrics.held_cold for each in system.gateways) > 0
 
@@ -122,7 +122,7 @@
 def test_a_warm_engine_serves_while_there_is_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without second tries, which may go to a cold engine within its share where this is slow."""
+    """Without hedges, which may go to a cold engine within its share if this machine is slow."""
     monkeypatch.setattr(AnswerTimes, "usual_seconds", NO_SECOND_TRY_SECONDS)
 
     async def test(system: System) -> None:
@@ -137,7 +137,7 @@
 def test_samples_run_on_cold_engines_within_the_bound(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    through = LetThrough(monkeypatch)
+    through = Admissions(monkeypatch)
 
     async def test(system: System) -> None:
         engines = await start(system, {"s0": 60.0, "s1": 60.0})
--- a/src/pondtiller/gateway/tests/test_cold_sends.py
+++ b/src/pondtiller/gateway/tests/test_cold_sends.py
@@ -29,7 +29,7 @@
 
 
 class Gateway:
-    """A gate with shares; the leader answers as it is told."""
+    """A gate with shares; the leader gives configured answers."""
 
     def __init__(self, leader: LeaderPlace | None = LEADER) -> None:
         self.asked: list[AskShares] = []
@@ -70,7 +70,7 @@
         assert not gateway.asked
         assert await gateway.send("cold") is None
         assert [each.epoch for each in gateway.asked][:1] == [LEADER.epoch]
-        # Nobody waited again: the gate alone decides.
+        # Nothing waited again: the gate alone decides.
         assert gateway.gate.check("cold", clock.monotonic()) is BlockReason.COLD
 
     run(gateway, test)
@@ -91,7 +91,7 @@
     run(gateway, test)
 
 
-def test_without_a_leader_a_request_is_held_back_after_a_short_wait() -> None:
+def test_without_a_leader_a_request_is_blocked_after_a_short_wait() -> None:
     gateway = Gateway(leader=None)
 
     async def test() -> None:
@@ -101,31 +101,31 @@
     run(gateway, test)
 
 
-def test_an_engine_of_which_only_the_leader_knows_that_it_is_cold_is_bounded_too(
+def test_an_engine_that_only_the_leader_knows_as_cold_is_limited_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(cold, "TOLD_SECONDS", 60.0)
+    monkeypatch.setattr(cold, "COLD_REPORT_SECONDS", 60.0)
     gateway = Gateway()
     gateway.most = 2
 
     async def test() -> None:
         assert await gateway.send("new") is None
         for engine in ("new", "warm"):
-            gateway.sends.told(engine)
+            gateway.sends.note_cold_report(engine)
             held = [await gateway.send(engine) for _ in range(4)]
             assert held == [None, None, BlockReason.COLD, BlockReason.COLD]
 
     run(gateway, test)
 
 
-def test_a_burst_gets_as_many_places_as_the_leader_grants_and_no_place_is_given_twice() -> None:
-    """Six that waited all woke at the first share, of one place, and five were refused."""
+def test_a_burst_gets_as_many_requests_as_the_leader_grants() -> None:
+    """With one place in the first share, six waiting requests all woke, and five were refused."""
     gateway = Gateway()
     held: list[BlockReason | None] = []
 
     async def one() -> None:
         await gateway.sends.prepare("cold", clock.monotonic() + 9.0)
-        await curio.sleep(0.05)  # A connection is opened.
+        await curio.sleep(0.05)  # Opening a connection.
         held.append(gateway.gate.check("cold", clock.monotonic()))
 
     async def test() -> None:
--- a/src/pondtiller/gateway/tests/test_configuration_in_time.py
+++ b/src/pondtiller/gateway/tests/test_configuration_in_time.py
@@ -1,4 +1,4 @@
-"""Changes of the store are acted on within their bounds though a call to it gets no answer."""
+"""Changes in the store take effect within their bounds although a call gets no answer."""
 
 from pathlib import Path
 
@@ -22,14 +22,14 @@
 from pondtiller.store import store_watch
 
 BOUNDS_SECONDS = (2.0, 3.0, 4.0)
-"""What the users' deployments give to a version, and to an engine that leaves."""
+"""Bounds of deployments for a version, and for an engine that leaves."""
 LATEST_SECONDS = 12.0
 PAUSE_SECONDS = 0.05
-"""From here on a stall of the test's process counts as a pause of the machine, which is no wait."""
+"""From this length on a pause of the test's process is not counted as waiting time."""
 
 
 class Stopwatch:
-    """Measures for how long the test's process has run."""
+    """Measures the running time of the test's process."""
 
     def __init__(self, system: System) -> None:
         self._began = clock.monotonic()
@@ -37,13 +37,13 @@
         self._before = len(system.stalls)
 
     def seconds(self) -> float:
-        """Return the seconds since the start, less pauses of the process."""
+        """Return the seconds since the start, without pauses of the process."""
         pauses = (each for each in self._stalls[self._before :] if each >= PAUSE_SECONDS)
         return clock.monotonic() - self._began - sum(pauses)
 
 
 async def seconds_until_in_force(system: System, *gateways: GatewayProcess) -> float:
-    """Change the configuration; return how long until the last gateway acts on it."""
+    """Change the configuration; return how long until the last gateway applies it."""
     watch = Stopwatch(system)
     system.store.put("config", "main", configuration(9, *system.app, *system.llm))
     for each in gateways:
@@ -53,7 +53,7 @@
 
 
 async def until_asked(gateway: GatewayProcess, kind: str) -> None:
-    """Wait until a gateway's next call for changes of a kind has just begun."""
+    """Wait until a gateway's next call for changes of a kind has just started."""
     watch, asked = gateway.store.watch, curio.Event()
 
     async def noted(of_kind: str, at: int, wait_seconds: float) -> StoreChanges:
@@ -66,8 +66,8 @@
     await curio.sleep(0.05)
 
 
-class TurnedAway:
-    """Stands in the place of a gateway's calls to a store that does not serve its machine."""
+class RejectingStore:
+    """Replaces a gateway's calls to a store that rejects its machine."""
 
     def __init__(self, gateway: GatewayProcess, is_silent: bool) -> None:
         self._is_silent = is_silent
@@ -93,10 +93,10 @@
 
 
 async def silence(system: System, kind: str) -> GatewayProcess:
-    """Silence all connections as a gateway has just asked for a kind; return that gateway."""
+    """Make all connections silent when a gateway has just called; return that gateway."""
     leader = await system.until_led()
     gateway = next(each for each in system.gateways if each is not leader)
-    # Kept connections turn silent too, also those that no call uses.
+    # Kept connections become silent too, also those that no call uses.
     for _connection in range(3):
         await curio.spawn(gateway.store.list_all, "config", daemon=True)
     await until_asked(gateway, kind)
@@ -106,8 +106,8 @@
 
 @pytest.fixture
 def without_mirrors(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(mirrors, "FEWEST_FOLLOWERS", 1000)
-    monkeypatch.setattr(store_watch, "SHORTEST_FIRST_WATCH_SECONDS", 0.5)
+    monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 1000)
+    monkeypatch.setattr(store_watch, "MIN_FIRST_WATCH_SECONDS", 0.5)
     monkeypatch.setattr(store_watch.random, "uniform", lambda shortest, _longest: shortest)
 
 
@@ -143,14 +143,14 @@
 @pytest.mark.parametrize("bound", BOUNDS_SECONDS)
 @pytest.mark.parametrize("is_leader", [False, True])
 @pytest.mark.parametrize("is_silent", [False, True])
-def test_a_gateway_that_the_store_turns_away_acts_on_a_version_that_others_have(
+def test_a_gateway_that_the_store_rejects_applies_a_version_that_others_have(
     tmp_path: Path, is_silent: bool, is_leader: bool, bound: float
 ) -> None:
     async def test(system: System) -> None:
         leader = await system.until_led()
         follower = next(each for each in system.gateways if each is not leader)
         gateway = leader if is_leader else follower
-        await TurnedAway(gateway, is_silent).asked.wait()
+        await RejectingStore(gateway, is_silent).asked.wait()
         assert await seconds_until_in_force(system, gateway) < bound
 
     run_system(tmp_path, test, gateways=2, news=News(configuration=bound))
--- a/src/pondtiller/gateway/tests/test_cost_of_a_sample.py
+++ b/src/pondtiller/gateway/tests/test_cost_of_a_sample.py
@@ -1,4 +1,4 @@
-"""What a sample makes a leader do, counted: messages, codings, tasks."""
+"""Number of messages, encodings and tasks that a sample costs a leader."""
 
 from collections import Counter
 from pathlib import Path
@@ -11,10 +11,10 @@
 from pondtiller.process.spawner import Spawner
 
 SAMPLES, REPLICAS = 24, 3
-TASKS_A_SAMPLE = 2
-"""One waits for the end of its run, one for its score."""
+TASKS_PER_SAMPLE = 2
+"""One task waits for the end of its run, one for its score."""
 OTHER_TASKS = 4
-"""Orders to engines, at the beginning of the term."""
+"""Orders to engines at the start of the term."""
 
 
 def test_a_sample_costs_one_message_two_tasks_and_is_coded_once(
@@ -49,8 +49,8 @@
         await system.read_all("s1", SAMPLES)
         assert written["BeginRun"] == SAMPLES
         assert written["SampleResult"] == SAMPLES
-        # The step and its results: each write is coded once for all replicas.
+        # The step and its results: each write is encoded once for all replicas.
         assert 2 <= written["Append with values"] <= SAMPLES + 1
-        assert len(tasks) <= TASKS_A_SAMPLE * SAMPLES + OTHER_TASKS
+        assert len(tasks) <= TASKS_PER_SAMPLE * SAMPLES + OTHER_TASKS
 
     run_system(tmp_path, test, gateways=3, replicas=REPLICAS)
--- a/src/pondtiller/gateway/tests/test_distances.py
+++ b/src/pondtiller/gateway/tests/test_distances.py
@@ -1,4 +1,4 @@
-"""Near engines, mirrors, members and leaders come first; a zone that is cut off comes last."""
+"""Near engines, mirrors, members and leaders come first; an unreachable zone comes last."""
 
 import random
 from types import SimpleNamespace
@@ -13,8 +13,8 @@
 from pondtiller.gateway.callers.request import ForwardedRequest
 from pondtiller.gateway.engines import zone_reach
 from pondtiller.gateway.engines.engine_pool import EnginePool, SilentEngineError
+from pondtiller.gateway.leader.candidacy import NO_QUORUM_IN_REGION_SECONDS
 from pondtiller.gateway.leader.leadership import Leadership
-from pondtiller.gateway.leader.standing import NO_QUORUM_IN_REGION_SECONDS
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.gateway.runs.sample_runner import SampleRunner, ScoreOutcome
 from pondtiller.gateway.tests.no_first_group import NoFirstGroup
@@ -24,7 +24,7 @@
 from pondtiller.routes.send_gate import SendGate
 from pondtiller.routes.table import RequestKind, RouteRow, RouteTable, ServiceShare
 from pondtiller.routes.topology import Topology
-from pondtiller.steplog.fault_tolerance import PlaceRules, Tolerance
+from pondtiller.steplog.fault_tolerance import GroupRules, Tolerance
 from pondtiller.steplog.follower import Follower
 from pondtiller.store.mirrored_store import MirroredStore
 from pondtiller.wire.steplog import Group, GroupMember, Sample, Scorer
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """A gateway's forwarder with engines named after their zones, some of which are cut off."""
+    """A gateway's forwarder with engines named after their zones, some of them unreachable."""
 
     def __init__(self, *zones: str, own: str = "s1") -> None:
         place = Address("10.0.0.1", 1)
@@ -52,7 +52,7 @@
         self.forwarder._send = self._send  # type: ignore[method-assign]
 
     def chosen(self) -> set[str]:
-        """Return the zones of engines that are chosen in many choices."""
+        """Return the zones of the engines chosen in many choices."""
         found = [
             self.forwarder.choice.choose("app", set(), frozenset(), clock.monotonic())
             for _ in range(60)
@@ -67,7 +67,7 @@
         self.tried.append(zone)
         if zone in self.cut:
             raise SilentEngineError("connection timed out")
-        self.forwarder.zones.note_heard(engine)  # type: ignore[arg-type]
+        self.forwarder.zones.note_answer(engine)  # type: ignore[arg-type]
         headers = (("x-sig", "1"),)
         return WholeAnswer(engine.identifier, 404, headers, b"")  # type: ignore[attr-defined]
 
@@ -84,10 +84,10 @@
     assert fleet.chosen() == {"n1"}
 
 
-def test_callers_do_not_wait_one_after_the_other_for_a_zone_that_is_cut_off(
+def test_callers_do_not_wait_one_after_the_other_for_an_unreachable_zone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without a zone's silence each of its engines keeps a caller for the time to connect."""
+    """Without marked zones, each unreachable engine delays a caller by the time limit."""
     now = [clock.monotonic()]
     monkeypatch.setattr(clock, "monotonic", lambda: now[0])
     fleet = Fleet("s2", "s2", "s2", "s2", "s3")
@@ -111,7 +111,7 @@
 
 
 def score_at_home(fleet: Fleet, home: str) -> ScoreOutcome:
-    """Return how one scorer's request ends whose row has one home region."""
+    """Return the outcome of a scorer's request whose row has one home region."""
     row = RouteRow(
         "r",
         "h",
@@ -150,7 +150,7 @@
 
 
 def leadership(zone: str, *members: str) -> Leadership:
-    rules = PlaceRules(Tolerance(machines=1), PLACES)
+    rules = GroupRules(Tolerance(machines=1), PLACES)
     place = Address("127.0.0.1", 1)
     made = Leadership("me", place, 4.0, 3, NoFirstGroup(), GatewayMetrics(), zone, rules)
     made._random = random.Random(5)
@@ -158,11 +158,11 @@
     return made
 
 
-def test_a_gateway_whose_writes_would_wait_for_another_region_stands_later() -> None:
-    near = leadership("s1", "s1", "s2", "n1")._stand_delay()
-    far = leadership("n1", "s1", "s2", "n1")._stand_delay()
+def test_a_gateway_whose_writes_would_wait_for_another_region_campaigns_later() -> None:
+    near = leadership("s1", "s1", "s2", "n1")._election_delay()
+    far = leadership("n1", "s1", "s2", "n1")._election_delay()
     assert far == pytest.approx(near + NO_QUORUM_IN_REGION_SECONDS)
-    nowhere = leadership("n1", "s1", "s2", "n1", "n2")._stand_delay()
+    nowhere = leadership("n1", "s1", "s2", "n1", "n2")._election_delay()
     assert nowhere == pytest.approx(near)
 
 
@@ -174,18 +174,18 @@
     assert leader.member_links() == [2, 1, 0]
 
 
-def test_a_leader_tells_when_its_group_begins_and_ceases_to_bear_the_losses() -> None:
+def test_a_leader_logs_when_its_group_starts_and_stops_tolerating_the_losses() -> None:
     leader = leadership("s1", "s1", "s2", "n1")
     leader.log.group = leader.replicas.group
-    leader.group_upkeep.note_shortfall(10.0)
+    leader.group_maintenance.note_shortfall(10.0)
     assert leader.shortfall == 0
-    leader.group_upkeep._missing_since["s1"] = 10.0
-    leader.group_upkeep.note_shortfall(10.9)
+    leader.group_maintenance._missing_since["s1"] = 10.0
+    leader.group_maintenance.note_shortfall(10.9)
     assert leader.shortfall == 0
-    leader.group_upkeep.note_shortfall(11.1)
+    leader.group_maintenance.note_shortfall(11.1)
     assert leader.shortfall == 1
-    leader.group_upkeep._missing_since.clear()
-    leader.group_upkeep.note_shortfall(11.2)
+    leader.group_maintenance._missing_since.clear()
+    leader.group_maintenance.note_shortfall(11.2)
     assert leader.shortfall == 0
 
 
@@ -206,7 +206,7 @@
 
 
 class MuteConnection:
-    """A kept connection into a zone that is cut off: takes everything, tells nothing."""
+    """A kept connection into an unreachable zone: accepts everything, never answers."""
 
     async def send_plain(self, *_given: object) -> None:
         return
@@ -219,7 +219,7 @@
         return
 
 
-def test_kept_connections_that_say_nothing_tell_of_a_cut_as_new_ones_do(
+def test_silent_kept_connections_mark_a_zone_as_new_ones_do(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(zone_reach, "SILENT_ANSWER_SECONDS", 0.05)
--- a/src/pondtiller/gateway/tests/test_ending_requests.py
+++ b/src/pondtiller/gateway/tests/test_ending_requests.py
@@ -1,16 +1,14 @@
-"""A request that ends each engine which runs it.
-
-Seen: a service of three engines served nobody for seconds, again and again; fourteen engines ended
-in 85 s. Order of events: a caller's request ended two engines within 0.07 s (its own two tries),
-its caller got 502 and came again with the same content, under a new identifier, at another
-gateway, which ended the third; the engines started again, and so on. Cause: each request had its
-own tries, and no gateway knew what a content had done before, here or elsewhere.
-
-Evidence: at each of the eight ends that gateways' logs hold, a request of that content's row broke
-off and the engine's port refused afterwards; the other row seen most was at five of them, and its
-requests were answered at their next try. Two engines ended at 8 requests a second, none at 163 a
-second, so the load did not end them; none ended without such a request, so they did not end by
-themselves.
+"""A request that crashes each engine which runs it.
+
+Failure: a service of three engines was unavailable for seconds again and again; fourteen engines
+crashed in 85 s. A caller's request crashed two engines within 0.07 s (its two attempts); the caller
+got 502 and retried with the same content under a new identifier at another gateway, which crashed
+the third engine; the engines restarted, and so on. Each request had its own attempts, and no
+gateway knew what a content had done before.
+
+The content is the cause: at each of the eight crashes in the logs a request of its row broke off
+and the engine's port refused afterwards, while requests of the other row were answered at their
+next attempt. Load was not the cause: two engines crashed at 8 requests a second, none at 163.
 """
 
 import base64
@@ -33,20 +31,20 @@
 from pondtiller.standins.ending_engine import DOWN_SECONDS, ENDING, EndingEngine, EndingRun
 
 ENDS = 2
-"""Ends under a content after which it is sent to no engine."""
+"""Crashes under a content after which it is sent to no engine."""
 TOLD_SECONDS = 1.0
-"""From the last of these ends until every gateway knows."""
+"""Time from the last of these crashes until every gateway knows of them."""
 CALLS = 60
 PAUSE_SECONDS = 0.05
 
 
-def runs_after_the_last_end(runs: list[EndingRun], ends: int = ENDS) -> list[EndingRun]:
+def runs_after_the_last_crash(runs: list[EndingRun], ends: int = ENDS) -> list[EndingRun]:
     runs = sorted(runs, key=lambda run: run.at)
     return [run for run in runs[ends:] if run.at > runs[ends - 1].at + TOLD_SECONDS]
 
 
-async def call_again_and_again(system: System, path: str) -> list[int]:
-    """Send the content at one gateway after the other, each time under a new identifier."""
+async def call_repeatedly(system: System, path: str) -> list[int]:
+    """Send the content to one gateway after the other, each time under a new identifier."""
     statuses = []
     for number in range(CALLS):
         answer = await system.call(
@@ -58,19 +56,19 @@
 
 
 @pytest.mark.parametrize("path", ["/quote/7", "/list/7"])
-def test_a_content_that_ends_engines_is_soon_sent_to_none_by_any_gateway(
+def test_a_content_that_crashes_engines_is_soon_sent_to_none_by_any_gateway(
     tmp_path: Path, path: str
 ) -> None:
     async def test(system: System) -> None:
         await system.until_led()
         await system.until(lambda: all(each.is_ready() for each in system.gateways))
         engines = await replace_engines(system, "app", 3)
-        statuses = await call_again_and_again(system, path)
+        statuses = await call_repeatedly(system, path)
         runs = [run for engine in engines for run in engine.runs]
         assert len(runs) >= ENDS
-        assert runs_after_the_last_end(runs) == []
+        assert runs_after_the_last_crash(runs) == []
         assert 200 not in statuses
-        # It is told at once that it did not run, and when it may come back.
+        # The caller is told at once that it did not run, and when to retry.
         refused = await system.call("POST", path, ENDING, request_id="last")
         assert refused.status == statuses[-1] == 503
         assert 3000 < int(dict(refused.headers)["retry-after"]) <= 3600
@@ -87,8 +85,10 @@
     await system.until(lambda: all(each.is_ready() for each in system.gateways))
 
 
-async def until_held(system: System, engines: list[EndingEngine], path: str = "/quote/7") -> int:
-    """Send the content until it is refused as not run; return the runs."""
+async def until_quarantined(
+    system: System, engines: list[EndingEngine], path: str = "/quote/7"
+) -> int:
+    """Send the content until it is rejected as not run; return the runs."""
     for number in range(CALLS):
         answer = await system.call("POST", path, ENDING, request_id=f"h{number}")
         if answer.status == 503 and b"Engines ended" in answer.body:
@@ -97,22 +97,22 @@
     raise AssertionError("it was never held back")
 
 
-def held_at(system: System, gateway: int) -> bool:
+def is_quarantined_at(system: System, gateway: int) -> bool:
     suspects = system.gateways[gateway].suspects
-    return any(suspects.is_held(each) for each in suspects.quarantine.suspects)
+    return any(suspects.is_quarantined(each) for each in suspects.quarantine.suspects)
 
 
-def test_a_gateway_that_starts_later_holds_a_content_back_at_once(tmp_path: Path) -> None:
+def test_a_gateway_that_starts_later_knows_a_quarantine_at_once(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "app", 3)
-        runs = await until_held(system, engines)
+        runs = await until_quarantined(system, engines)
         await system.until(lambda: bool(system.store.kinds.get(names.SUSPECTS)))
         late = system.make_gateway(1)
         system.gateways.append(late)
         await system.group.spawn(late.run)
         await system.until(late.is_ready)
-        await system.until(lambda: held_at(system, 1))
+        await system.until(lambda: is_quarantined_at(system, 1))
         answer = await system.call("POST", "/quote/7", ENDING, 1, request_id="late")
         assert answer.status == 503
         assert sum(len(engine.runs) for engine in engines) == runs
@@ -120,34 +120,36 @@
     run_system(tmp_path, test)
 
 
-def test_what_happened_while_the_store_was_down_is_told_afterwards(tmp_path: Path) -> None:
+def test_crashes_during_a_store_outage_are_shared_afterwards(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "app", 3)
-        # Engines that start again cannot be heard of while the store is down.
+        # Restarted engines cannot be discovered while the store is down.
         system.store.is_down = True
         for number in range(3):
             await system.call("POST", "/quote/7", ENDING, request_id=f"d{number}")
         ends = sum(len(engine.runs) for engine in engines)
         assert ends == ENDS
-        assert held_at(system, 0)
-        assert not held_at(system, 1)
+        assert is_quarantined_at(system, 0)
+        assert not is_quarantined_at(system, 1)
         system.store.is_down = False
-        await system.until(lambda: held_at(system, 1))
+        await system.until(lambda: is_quarantined_at(system, 1))
 
     run_system(tmp_path, test, gateways=2)
 
 
-def test_the_operator_lets_a_content_through_again(tmp_path: Path) -> None:
+def test_the_operator_can_end_a_quarantine(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "app", 3)
-        runs = await until_held(system, engines)
-        await system.until(lambda: held_at(system, 1))
+        runs = await until_quarantined(system, engines)
+        await system.until(lambda: is_quarantined_at(system, 1))
         (content,) = system.store.kinds[names.SUSPECTS]
         system.store.remove(names.SUSPECTS, content)
-        await system.until(lambda: not held_at(system, 0) and not held_at(system, 1))
-        # Its engines may be about to start again.
+        await system.until(
+            lambda: not is_quarantined_at(system, 0) and not is_quarantined_at(system, 1)
+        )
+        # Its engines may be about to restart.
         for number in range(CALLS):
             await system.call("POST", "/quote/7", ENDING, 1, request_id=f"again{number}")
             if sum(len(engine.runs) for engine in engines) > runs:
@@ -158,10 +160,10 @@
     run_system(tmp_path, test, gateways=2)
 
 
-def test_a_content_that_one_gateway_had_answered_lately_is_held_back_by_none(
+def test_a_content_recently_answered_at_one_gateway_is_quarantined_by_none(
     tmp_path: Path,
 ) -> None:
-    """Guards against scorers' requests, all alike, that no gateway sends any more."""
+    """Guards against quarantined scorers' requests, which are all alike and then never sent."""
 
     async def test(system: System) -> None:
         await until_ready(system)
@@ -173,36 +175,38 @@
         stored = system.store.kinds[names.SUSPECTS]
         await system.until(lambda: not stored[content]["spec"]["ends"])
         await system.until(
-            lambda: not any(each.suspects.is_held(content) for each in system.gateways)
+            lambda: not any(each.suspects.is_quarantined(content) for each in system.gateways)
         )
         assert (await system.call("POST", "/quote/7", b"sound", 1, request_id="r")).status == 200
 
     run_system(tmp_path, test, gateways=2)
 
 
-async def hold_back_scorers(system: System) -> str:
-    """Have two engines end beside the scorers' requests, which are all alike; return these."""
+async def quarantine_scorers(system: System) -> str:
+    """Have two engines crash beside scorers' requests, all alike; return their content."""
     scorer = step_body("s1", 1, 1)["requests"][0]["scorer"]
     body = base64.b64decode(scorer["body"])
     content = content_digest(scorer["host"].encode(), scorer["path"].encode(), body)
     for number in range(MAX_CALLER_CRASHES):
         await system.gateways[0].suspects.note_crash(content, f"e{number}@1")
-    await system.until(lambda: all(held_at(system, each) for each in range(len(system.gateways))))
+    await system.until(
+        lambda: all(is_quarantined_at(system, each) for each in range(len(system.gateways)))
+    )
     return content
 
 
-def test_samples_do_not_wait_for_an_hour_since_engines_ended_beside_their_scorers_requests(
+def test_samples_do_not_wait_for_an_hour_because_engines_crashed_beside_their_scorers_requests(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(quarantine, "TRIAL_PAUSES_SECONDS", (1.0, 60.0))
 
     async def test(system: System) -> None:
         await until_ready(system)
-        content = await hold_back_scorers(system)
+        content = await quarantine_scorers(system)
         assert await system.submit("s1") == 202
         assert all(each["state"] == "succeeded" for each in await system.read_all("s1", 4))
         await system.until(
-            lambda: not any(each.suspects.is_held(content) for each in system.gateways)
+            lambda: not any(each.suspects.is_quarantined(content) for each in system.gateways)
         )
 
     run_system(tmp_path, test, gateways=2)
@@ -216,7 +220,7 @@
 
     async def test(system: System) -> None:
         await until_ready(system)
-        content = await hold_back_scorers(system)
+        content = await quarantine_scorers(system)
         gateway = system.gateways[0]
         await curio.sleep(0.2)
         system.store.is_down = True
@@ -229,7 +233,7 @@
     run_system(tmp_path, test)
 
 
-def test_a_content_that_ends_each_engine_gets_no_more_trials_than_all_gateways_may_make(
+def test_a_content_that_crashes_each_engine_gets_no_more_than_the_allowed_trials(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     pauses = (0.3, 0.3, 0.3)
@@ -238,22 +242,22 @@
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "app", 3)
-        await call_again_and_again(system, "/quote/7")
-        await call_again_and_again(system, "/quote/7")
+        await call_repeatedly(system, "/quote/7")
+        await call_repeatedly(system, "/quote/7")
         runs = [run for engine in engines for run in engine.runs]
         assert ENDS < len(runs) <= ENDS + len(pauses)
 
     run_system(tmp_path, test, gateways=3)
 
 
-def test_objects_that_are_not_to_be_read_hold_nothing_back(tmp_path: Path) -> None:
+def test_unreadable_objects_quarantine_nothing(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         bad: list[object] = [None, 7, [], {}, {"ends": "x", "until": 1}, {"ends": [], "until": "x"}]
         for number, spec in enumerate(bad):
             system.store.put(names.SUSPECTS, f"bad{number}", spec)
         engines = await replace_engines(system, "app", 3)
-        await until_held(system, engines)
+        await until_quarantined(system, engines)
         assert len(system.gateways[0].suspects.quarantine.suspects) == 1
         # Another version of the program may have written them.
         assert set(system.store.kinds[names.SUSPECTS]) > {f"bad{each}" for each in range(len(bad))}
@@ -261,7 +265,7 @@
     run_system(tmp_path, test)
 
 
-def test_what_broke_off_beside_it_is_answered_and_not_suspected(tmp_path: Path) -> None:
+def test_requests_that_broke_off_beside_it_are_answered_and_not_suspected(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "app", 3)
@@ -279,7 +283,7 @@
 
         for _ in range(4):
             await system.group.spawn(call_others)
-        await until_held(system, engines)
+        await until_quarantined(system, engines)
         await curio.sleep(DOWN_SECONDS + 0.5)
         before = answered
         await curio.sleep(0.5)
@@ -294,7 +298,7 @@
     run_system(tmp_path, test)
 
 
-def test_a_connection_that_breaks_alone_is_no_end(tmp_path: Path) -> None:
+def test_a_broken_connection_alone_is_no_crash(tmp_path: Path) -> None:
     async def cut(_exchange: Exchange) -> None:
         raise ConnectionLostError("cut")
 
@@ -319,19 +323,19 @@
         engines = await replace_engines(system, "app", 3)
         for engine in engines:
             engine.lingers_seconds = 0.04
-        await until_held(system, engines)
+        await until_quarantined(system, engines)
 
     run_system(tmp_path, test)
 
 
-def test_a_sample_that_ends_engines_is_soon_run_by_none_and_the_others_are_made(
+def test_a_sample_that_crashes_engines_is_soon_run_by_none_and_the_others_complete(
     tmp_path: Path,
 ) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "llm", 3)
         for engine in engines:
-            # The others are at work whenever it ends an engine, and break off with it.
+            # The others are in progress whenever it crashes an engine, and break off with it.
             engine.event_seconds = 0.03
         body = step_body("s1", 4, 1)
         body["requests"][3]["body"] = base64.b64encode(ENDING).decode()
@@ -350,12 +354,12 @@
         await leader.leadership.resign()
         await curio.sleep(3.0)
         runs = [run for engine in engines for run in engine.runs]
-        assert runs_after_the_last_end(runs, MAX_SAMPLE_CRASHES) == []
+        assert runs_after_the_last_crash(runs, MAX_SAMPLE_CRASHES) == []
 
     run_system(tmp_path, test, gateways=2)
 
 
-def test_a_stream_that_ends_engines_is_soon_sent_to_none(tmp_path: Path) -> None:
+def test_a_stream_that_crashes_engines_is_soon_sent_to_none(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "app", 3)
@@ -369,8 +373,8 @@
                 for each in system.gateways
             )
         )
-        runs = await until_held(system, engines, "/talk/1")
-        await system.until(lambda: held_at(system, 1))
+        runs = await until_quarantined(system, engines, "/talk/1")
+        await system.until(lambda: is_quarantined_at(system, 1))
         answer = await system.call("POST", "/talk/1", ENDING, 1, request_id="late")
         assert answer.status == 503
         assert sum(len(engine.runs) for engine in engines) == runs
--- a/src/pondtiller/gateway/tests/test_engine_ends.py
+++ b/src/pondtiller/gateway/tests/test_engine_ends.py
@@ -1,4 +1,4 @@
-"""Which ends of engines count, by what this gateway knows of them."""
+"""Which ends of engines count as crashes, by what this gateway knows of them."""
 
 import curio
 import pytest
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize(
     ("known", "counts"), [("ready", True), ("unknown", True), ("leaving", False), ("gone", False)]
 )
-def test_an_end_counts_unless_the_engine_was_to_leave(known: str, counts: bool) -> None:
+def test_an_end_counts_as_a_crash_unless_the_engine_was_leaving(known: str, counts: bool) -> None:
     async def main() -> None:
         listener = bind_tcp("127.0.0.1", 0)
         place = Address(*listener.getsockname())
@@ -34,6 +34,6 @@
         suspects = SuspectContents(metrics)
         ends = EngineEnds(directory(known), EnginePool(), metrics, suspects)
         assert await ends.confirm("e", place, "q", "c") is counts
-        assert suspects.ends("c") == counts
+        assert suspects.crash_count("c") == counts
 
     curio.run(main)
--- a/src/pondtiller/gateway/tests/test_engines_start_again.py
+++ b/src/pondtiller/gateway/tests/test_engine_restarts.py
@@ -1,4 +1,4 @@
-"""Engines that start again under their names, and entries that are not whole, in a small system."""
+"""Engines that restart under their names, and malformed entries, in a small system."""
 
 import random
 from pathlib import Path
@@ -23,7 +23,7 @@
     await system.until(lambda: all(each.is_ready() for each in system.gateways))
 
 
-async def end_now_and_then(engines: list[EndingEngine], seed: int) -> None:
+async def crash_now_and_then(engines: list[EndingEngine], seed: int) -> None:
     source = random.Random(seed)
     while True:
         await curio.sleep(source.uniform(0.15, 0.4))
@@ -33,21 +33,19 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_steps_are_made_while_engines_start_again_under_their_names(
-    tmp_path: Path, seed: int
-) -> None:
+def test_steps_complete_while_engines_restart_under_their_names(tmp_path: Path, seed: int) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "llm", 3, keeps_name=True)
         for engine in engines:
             engine.events, engine.event_seconds = 6, 0.02
-        ending = await system.group.spawn(end_now_and_then, engines, seed)
+        ending = await system.group.spawn(crash_now_and_then, engines, seed)
         for step in range(STEPS):
             name = f"s{step}"
             assert await system.submit(name, samples=SAMPLES, gateway=step % 2) == 202
             listed = await system.read_all(name, SAMPLES, step % 2)
             for each in listed:
-                # Whole and in order, whichever starts of engines made it.
+                # Complete and in order, whichever incarnations of engines made it.
                 lines = [f"{each['id']}/{number}" for number in range(1, 7)]
                 assert each["text"] == "\n".join(lines)
         await ending.cancel()
@@ -56,7 +54,9 @@
     run_system(tmp_path, test, gateways=2)
 
 
-def test_a_load_meant_for_an_earlier_start_is_ordered_anew_of_the_later(tmp_path: Path) -> None:
+def test_a_load_ordered_from_an_earlier_incarnation_is_ordered_again_from_the_later(
+    tmp_path: Path,
+) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "llm", 2, keeps_name=True)
@@ -65,7 +65,7 @@
         for engine in engines:
             engine.version = 1
             await engine.end()
-        # An engine that started again says which version it has and counts its orders from 0.
+        # A restarted engine reports its version and counts its orders from 0.
         await system.until(lambda: all(engine.version == 2 for engine in engines))
         assert all(engine.orders[0]["if_rev"] == 0 for engine in engines if engine.orders)
 
@@ -103,7 +103,7 @@
         assert usable(system, "app") == {"a0", "a1"}
         answer = await system.call("POST", "/quote/7", b"x", request_id="q")
         assert answer.status == 200
-        # Each is noted once, and nothing is listed again for it.
+        # Each is logged once, and nothing is listed again because of it.
         calls = system.gateways[0].store.calls["list"]
         await curio.sleep(1.0)
         assert system.gateways[0].store.calls["list"] == calls
@@ -116,7 +116,7 @@
     tmp_path: Path,
 ) -> None:
     async def test(system: System) -> None:
-        # A page goes on after the last name in it, so it must hold one.
+        # A page continues after the last name in it, so it must contain one.
         system.store.page = 500
         servers = system.store.kinds["servers"]
         servers["a00"] = {"metadata": {"name": "a00", "revision": "x"}, "spec": {}}
@@ -129,7 +129,7 @@
     run_system(tmp_path, test)
 
 
-def test_an_entry_that_turns_bad_ends_new_work_there_and_one_that_turns_good_begins_it(
+def test_a_malformed_entry_stops_new_work_and_a_corrected_one_resumes_it(
     tmp_path: Path,
 ) -> None:
     async def test(system: System) -> None:
@@ -151,7 +151,7 @@
         await system.until(lambda: not usable(system, "app"))
         refused = await system.call("POST", "/list/7", b"y", request_id="q")
         assert refused.status == 503
-        # What runs there goes on.
+        # Requests in progress there continue.
         answer = await call.join()
         assert answer.status == 200
         for each in system.app:
--- a/src/pondtiller/gateway/tests/test_evacuation_watch.py
+++ b/src/pondtiller/gateway/tests/test_evacuation_watch.py
@@ -1,4 +1,4 @@
-"""What a gateway takes an evacuation for, whatever it reads and in whichever order."""
+"""Objects that a gateway treats as an evacuation, in whichever order it reads them."""
 
 from collections.abc import Awaitable, Callable
 
@@ -83,7 +83,7 @@
     ]
 
 
-def test_a_listing_replaces_all_that_was_known() -> None:
+def test_a_listing_replaces_the_known_state() -> None:
     async def act(watch: EvacuationWatch, _engines: EngineDirectory) -> None:
         await watch._replace((evacuation("a", 3), evacuation("b", 4)))
         await watch._replace((evacuation("b", 4),))
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("odd", [evacuation("b", 5, ["x"]), evacuation("nowhere", 5)])
-def test_what_reads_oddly_is_logged_and_in_force_for_its_zone_only(lines, odd) -> None:
+def test_an_odd_object_is_logged_and_in_force_for_its_zone_only(lines, odd) -> None:
     async def act(watch: EvacuationWatch, _engines: EngineDirectory) -> None:
         await watch._replace((odd,))
 
@@ -118,11 +118,11 @@
 
 def test_settings_that_promise_less_than_the_sum_of_the_waits_are_refused() -> None:
     assert Evacuation(within=0.0).within == 0.0
-    assert Evacuation(within=bounds.LONGEST_SECONDS + 0.01)
+    assert Evacuation(within=bounds.MAX_SECONDS + 0.01)
     with pytest.raises(ValidationError, match="news of an evacuation may take"):
-        Evacuation(within=bounds.LONGEST_SECONDS - 0.01)
+        Evacuation(within=bounds.MAX_SECONDS - 0.01)
 
 
-def test_a_call_that_hangs_ends_while_its_machine_is_taken_to_come_back() -> None:
-    # The platform takes a machine to be in touch again 4 s after its path was whole again.
+def test_a_hanging_call_ends_before_its_machine_counts_as_connected() -> None:
+    # The platform considers a machine connected again 4 s after its network path recovered.
     assert bounds.DIRECT_NEWS_SECONDS < 4.0
--- a/src/pondtiller/gateway/tests/test_evacuations.py
+++ b/src/pondtiller/gateway/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated zones: nothing new reaches an engine there, by any way, whatever fails."""
+"""Evacuated zones: nothing new reaches an engine there, on any path, whatever fails."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 
 def run(folder: Path, test: Callable[[System], Any], within: float = WITHIN, **given: int) -> None:
-    """Run a test where the second engine of each service is in zone `y`."""
+    """Run a test in which the second engine of each service is in zone `y`."""
 
     async def in_zones(system: System) -> None:
         for engine in (system.app[1], system.llm[1]):
@@ -184,7 +184,7 @@
     run(tmp_path, test, within=0.0)
 
 
-def test_a_running_stream_of_an_evacuated_zone_goes_on(tmp_path: Path) -> None:
+def test_a_running_stream_of_an_evacuated_zone_continues(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         for engine in system.llm:
             engine.events, engine.event_seconds = 10, 0.05
@@ -235,7 +235,7 @@
                 each.engines.evacuated = frozenset({"z", "y"})
         assert await system.submit("s1", samples=12) == 202
         await curio.sleep(1.2)
-        # Four places at each of two engines, asked for at once and then twice a second.
+        # Four slots at each of two engines, requested at once and then twice a second.
         assert 0 < len(refused) <= 24
         assert set(refused) == {"refused"}
         for each in system.gateways:
@@ -331,12 +331,12 @@
     run(tmp_path, test)
 
 
-# Through mirrors
+# Evacuations read through mirrors
 
 
 @pytest.fixture
 def few_followers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(mirrors, "FEWEST_FOLLOWERS", 0.5)
+    monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 0.5)
     monkeypatch.setattr(mirrors, "FRESH_SECONDS", 10.0)
 
 
@@ -358,7 +358,7 @@
 
 
 @pytest.mark.usefixtures("few_followers")
-def test_news_come_through_mirrors_without_calls_of_the_gateways(tmp_path: Path) -> None:
+def test_changes_arrive_through_mirrors_without_calls_of_the_gateways(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         follower = await mirrored(system)
         await curio.sleep(0.5)
@@ -376,7 +376,7 @@
 
 @pytest.mark.usefixtures("few_followers")
 @pytest.mark.parametrize("silent_mirrors", [1, 3])
-def test_where_mirrors_fall_silent_the_news_come_in_time_all_the_same(
+def test_changes_arrive_in_time_if_mirrors_become_silent(
     tmp_path: Path, silent_mirrors: int
 ) -> None:
     async def test(system: System) -> None:
@@ -403,7 +403,7 @@
 
 
 @pytest.mark.usefixtures("few_followers")
-def test_mirrors_that_the_store_turns_away_are_left_in_time(tmp_path: Path) -> None:
+def test_mirrors_that_the_store_rejects_are_abandoned_in_time(tmp_path: Path) -> None:
     async def hang(*_given: object) -> None:
         await curio.sleep(1000.0)
 
@@ -411,7 +411,7 @@
         follower = await mirrored(system)
         for replica in system.replicas:
             replica.store.watch = hang  # type: ignore[method-assign]
-        # Calls that are under way still bring what changes before their wait is over.
+        # Calls in progress still return what changes before their wait is over.
         await curio.sleep(bounds.MIRROR_TIMES.wait_seconds + 0.1)
         began = clock.monotonic()
         system.store.put("evacuations", "y", {})
--- a/src/pondtiller/gateway/tests/test_first_group.py
+++ b/src/pondtiller/gateway/tests/test_first_group.py
@@ -1,22 +1,22 @@
-"""The first group where there are fewer replicas than the settings' losses need."""
+"""The first group if there are fewer replicas than the declared losses require."""
 
 from typing import Any
 
 import curio
 import pytest
 
-from pondtiller.gateway.leader.first_group import FEW_SECONDS, StoredFirstGroup
+from pondtiller.gateway.leader.first_group import SMALL_GROUP_WAIT_SECONDS, StoredFirstGroup
 from pondtiller.platform.object_client import PutOutcome, StoreObject
 from pondtiller.process import clock
-from pondtiller.steplog.fault_tolerance import PlaceRules, Tolerance
+from pondtiller.steplog.fault_tolerance import GroupRules, Tolerance
 from pondtiller.wire.steplog import Group, GroupMember
 
-RULES = PlaceRules(Tolerance(machines=2, zones=1))
+RULES = GroupRules(Tolerance(machines=2, zones=1))
 WANTED = 5
 
 
 class OneObjectStore:
-    """A store that holds the group's object once it is made."""
+    """A store that holds the group's object once it is created."""
 
     def __init__(self) -> None:
         self.spec: Any = None
@@ -37,7 +37,7 @@
 
 
 def play(counts: list[tuple[float, int]], monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Ask at times, with so many replicas there; return the members of the group each time."""
+    """Ask at given times with so many replicas; return the group's size each time."""
     source = StoredFirstGroup(OneObjectStore(), WANTED, RULES)  # type: ignore[arg-type]
     found: list[int] = []
     for now, count in counts:
@@ -48,7 +48,7 @@
 
 
 def test_too_few_replicas_form_a_group_once_no_more_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    later = 10.0 + FEW_SECONDS
+    later = 10.0 + SMALL_GROUP_WAIT_SECONDS
     assert play([(10.0, 3), (11.0, 4), (later, 4)], monkeypatch) == [0, 0, 0]
     assert play([(10.0, 4), (later - 0.1, 4), (later, 4)], monkeypatch) == [0, 0, 4]
 
