--- a/src/pondtiller/gateway/tests/test_held_runs.py
+++ b/src/pondtiller/gateway/tests/test_held_runs.py
@@ -1,4 +1,4 @@
-"""Runs go on when their leader is lost, and never at two engines for longer than 0.4 s."""
+"""Runs continue when their leader is lost, and never at two engines for longer than 0.4 s."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -28,15 +28,15 @@
 from pondtiller.wire.steplog import BeginRun, OfferRuns, RunNews, RunsTaken, Subscribe
 
 EVENTS = 60
-TWICE_SECONDS = 0.4
-"""An engine may work on a sample for so long after another one has begun it."""
+MAX_OVERLAP_SECONDS = 0.4
+"""How long an engine may work on a sample after another one has started it."""
 ENGINE_LEFT_SECONDS = 0.2
-"""An engine notices within some gaps between events that its connection was closed."""
+"""An engine notices a closed connection within a few gaps between events."""
 BEGIN = BeginRun(epoch=5, run=1, engine="e", engine_host="10.0.0.1", engine_port=1, sample="s")
 
 
 class Working:
-    """Notes when engines work on which sample."""
+    """Records when engines work on which sample."""
 
     def __init__(self, engines: list[StandInEngine]) -> None:
         self.spans: list[tuple[str, float, float]] = []
@@ -58,8 +58,8 @@
 
         engine.stream = noted  # type: ignore[method-assign]
 
-    def doubled_seconds(self) -> float:
-        """Return for how long at most one sample was worked on after it was begun elsewhere."""
+    def overlap_seconds(self) -> float:
+        """Return the longest time that a sample was worked on after it was started elsewhere."""
         now = clock.monotonic()
         spans = [*self.spans, *((*work, now) for work in self.open)]
         longest = 0.0
@@ -70,7 +70,7 @@
 
 
 async def running(system: System, events: int = EVENTS) -> tuple[GatewayProcess, Working]:
-    """Return the leader of four samples that others run, 3 s long each where not told."""
+    """Return the leader of four samples that others run, by default 3 s long each."""
     leader = await connected(system, 2)
     for engine in system.llm:
         engine.events, engine.event_seconds = events, 0.05
@@ -84,14 +84,14 @@
 
 async def cut_from_replicas(system: System, leader: GatewayProcess) -> None:
     async def unheard(*_given: object) -> None:
-        """Lose a message on its way."""
+        """Lose a message in transit."""
 
     for place in leader.leadership.replicas.places.values():
         place.link.send = place.link.request = unheard
 
 
 async def end_process(system: System, leader: GatewayProcess) -> None:
-    """End a leader without a word to a successor, as a kill does."""
+    """End a leader without notice to a successor, as a kill does."""
     await system.tasks[leader].cancel()
     await leader.sockets.links.close()
 
@@ -105,16 +105,16 @@
 
 @pytest.mark.parametrize("lose", [cut_from_replicas, end_process])
 @pytest.mark.parametrize("is_on", [True, False])
-def test_runs_go_on_under_the_next_leader(
+def test_runs_continue_under_the_next_leader(
     lose: Callable[[System, GatewayProcess], Any],
     is_on: bool,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     if not is_on:
-        monkeypatch.setattr(run_holding, "LONGEST_SECONDS", 0.0)
+        monkeypatch.setattr(run_holding, "MAX_SECONDS", 0.0)
     # All parts share this process: an offer may take longer than between machines.
-    monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", 1.0)
+    monkeypatch.setattr(run_offers, "OFFER_WAIT_SECONDS", 1.0)
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
 
     async def test(system: System) -> None:
@@ -122,23 +122,25 @@
         others = [each for each in system.gateways if each is not leader]
         await lose(system, leader)
         await read_elsewhere(system, others)
-        # Each engine was asked once for each of its samples: nothing was begun anew.
+        # Each engine was asked once for each of its samples: nothing was restarted.
         assert bool(sum(len(each.seen) for each in system.llm) == 4) is is_on
-        assert working.doubled_seconds() < TWICE_SECONDS
+        assert working.overlap_seconds() < MAX_OVERLAP_SECONDS
         taken = sum(each.metrics.runs_taken_over for each in others)
         assert taken == (4 if is_on else 0)
 
     run_system(tmp_path, test, gateways=3)
 
 
-def test_runs_go_on_under_the_third_leader(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against runs begun anew since their text still bore a name of the first leader."""
-    monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", 1.0)
+def test_runs_continue_under_the_third_leader(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against restarted runs because their text still had a name of the first leader."""
+    monkeypatch.setattr(run_offers, "OFFER_WAIT_SECONDS", 1.0)
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
-    # No event comes in the second leader's term; no run is moved for that.
-    monkeypatch.setattr(moving, "MOST_MOVES", 0)
-    # Its texts come too late for the third one, as where a pause took its lease.
-    monkeypatch.setattr(unfinished_texts, "MOST_RELAYS", 0)
+    # No event arrives in the second leader's term; no run is moved because of that.
+    monkeypatch.setattr(moving, "MAX_MOVES", 0)
+    # Its texts arrive too late for the third one, as if a pause had cost it the lease.
+    monkeypatch.setattr(unfinished_texts, "MAX_RELAYS", 0)
     events = 40
 
     async def test(system: System) -> None:
@@ -146,7 +148,7 @@
         await system.until(lambda: any(len(each.texts.by_sample) == 4 for each in system.replicas))
         for engine in system.llm:
             engine.event_seconds = LONG_SECONDS
-        # The event that was on its way is saved too.
+        # The event in transit is saved too.
         await curio.sleep(1.0)
         others = [each for each in system.gateways if each is not leader]
         await end_process(system, leader)
@@ -159,7 +161,7 @@
             engine.event_seconds = 0.05
         await read_elsewhere(system, third, events)
         assert sum(len(each.seen) for each in system.llm) == 4
-        assert working.doubled_seconds() < TWICE_SECONDS
+        assert working.overlap_seconds() < MAX_OVERLAP_SECONDS
 
     run_system(tmp_path, test, gateways=4)
 
@@ -167,10 +169,10 @@
 def test_runs_that_were_offered_before_the_texts_were_read_are_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The wait for offers ends before the texts are read; the runners were told to come again."""
+    """The wait for offers ends before the texts are read; the runners were told to offer again."""
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
-    monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", 0.0)
-    monkeypatch.setattr(run_offers, "COME_AGAIN_SECONDS", 1.0)
+    monkeypatch.setattr(run_offers, "OFFER_WAIT_SECONDS", 0.0)
+    monkeypatch.setattr(run_offers, "REOFFER_SECONDS", 1.0)
     usual = UnfinishedTexts.read
 
     async def slowly(unfinished: UnfinishedTexts, samples: Iterable[str]) -> None:
@@ -185,13 +187,13 @@
         await end_process(system, leader)
         await read_elsewhere(system, others)
         assert sum(len(each.seen) for each in system.llm) == 4
-        assert working.doubled_seconds() < TWICE_SECONDS
+        assert working.overlap_seconds() < MAX_OVERLAP_SECONDS
 
     run_system(tmp_path, test, gateways=3)
 
 
 def running_moment(offers: RunOffers, seconds: float) -> float:
-    """Return the moment at which a term has lasted so many seconds in which its process ran."""
+    """Return the time at which a term has lasted so many seconds of running time."""
     return offers._began + (offers._stalls.stalled_seconds() - offers._stalled_before) + seconds
 
 
@@ -199,7 +201,7 @@
 def test_a_leader_that_has_just_started_waits_for_no_runs(
     pause_seconds: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a wait for runs that nobody has; a later leader's wait counts no pause."""
+    """Guards against a wait for runs that do not exist; a later leader's wait excludes pauses."""
 
     async def test(system: System) -> None:
         leader = await system.until_led()
@@ -213,7 +215,7 @@
         second = next(each.duties.term for each in others if each.duties.term)
         await system.until(lambda: second.offers.has_texts)
         time.sleep(pause_seconds)
-        waited = run_offers.HELD_WAIT_SECONDS
+        waited = run_offers.OFFER_WAIT_SECONDS
         assert second.offers.are_awaited(running_moment(second.offers, 0.0))
         assert second.offers.are_awaited(running_moment(second.offers, waited - 0.01))
         assert not second.offers.are_awaited(running_moment(second.offers, waited + 0.01))
@@ -227,13 +229,13 @@
         for runner in list(leader.duties.term.runners.links.values()):
             await runner.link.drop()
         texts(await system.read_all("s1", 4), EVENTS)
-        assert working.doubled_seconds() < TWICE_SECONDS
+        assert working.overlap_seconds() < MAX_OVERLAP_SECONDS
 
     run_system(tmp_path, test, gateways=3)
 
 
-def test_a_reset_of_a_runners_link_begins_no_run_anew(tmp_path: Path) -> None:
-    """Guards against runs that began at other engines while their runner still had them."""
+def test_a_reset_of_a_runners_link_restarts_no_run(tmp_path: Path) -> None:
+    """Guards against runs started at other engines while their runner still had them."""
 
     async def test(system: System) -> None:
         leader, working = await running(system)
@@ -241,7 +243,7 @@
             await runner.link.drop()
         texts(await system.read_all("s1", 4), EVENTS)
         assert sum(len(each.seen) for each in system.llm) == 4
-        assert working.doubled_seconds() == 0.0
+        assert working.overlap_seconds() == 0.0
 
     run_system(tmp_path, test, gateways=3)
 
@@ -249,7 +251,7 @@
 def test_a_run_that_is_cancelled_while_its_link_is_down_leaves_its_engine_first(
     tmp_path: Path,
 ) -> None:
-    """Guards against a sample that began elsewhere while its runner could not be told."""
+    """Guards against a sample started elsewhere while its runner could not be told."""
 
     async def hangs(*_given: object) -> None:
         await curio.sleep(LONG_SECONDS)
@@ -268,13 +270,13 @@
         await term._carry_out()
         texts(await system.read_all("s1", 4), EVENTS)
         assert sum(len(each.seen) for each in system.llm) == 8
-        assert working.doubled_seconds() < ENGINE_LEFT_SECONDS
+        assert working.overlap_seconds() < ENGINE_LEFT_SECONDS
 
     run_system(tmp_path, test, gateways=3)
 
 
 def test_a_leader_that_reaches_no_runner_has_no_sample_run_twice(tmp_path: Path) -> None:
-    """The links hang, both ways and new ones too; the replicas are heard by both sides."""
+    """The links hang in both directions, also new ones; both sides reach the replicas."""
 
     async def test(system: System) -> None:
         leader, working = await running(system)
@@ -290,7 +292,7 @@
             for link in each.run_host.by_link:
                 link.send = _nothing
         texts(await system.read_all("s1", 4), EVENTS)
-        assert working.doubled_seconds() < TWICE_SECONDS
+        assert working.overlap_seconds() < MAX_OVERLAP_SECONDS
 
     run_system(tmp_path, test, gateways=3)
 
@@ -310,7 +312,7 @@
             each.run_host.held._ask_leader = hangs
         await end_process(system, leader)
         await read_elsewhere(system, others)
-        assert working.doubled_seconds() < TWICE_SECONDS
+        assert working.overlap_seconds() < MAX_OVERLAP_SECONDS
 
     run_system(tmp_path, test, gateways=3)
 
@@ -319,7 +321,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
-    monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", 0.4)
+    monkeypatch.setattr(run_offers, "OFFER_WAIT_SECONDS", 0.4)
     run = RunnerLink.run
 
     async def is_reset(link: RunnerLink, order: RunOrder, take: EventSink) -> RunOutcome:
@@ -335,7 +337,7 @@
         others = [each for each in system.gateways if each is not leader]
         await end_process(system, leader)
         await read_elsewhere(system, others)
-        assert working.doubled_seconds() < TWICE_SECONDS
+        assert working.overlap_seconds() < MAX_OVERLAP_SECONDS
 
     run_system(tmp_path, test, gateways=3)
 
@@ -343,7 +345,7 @@
 def test_a_leader_that_stops_hands_its_runs_on_and_each_text_is_scored_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", 1.0)
+    monkeypatch.setattr(run_offers, "OFFER_WAIT_SECONDS", 1.0)
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
 
     async def test(system: System) -> None:
@@ -352,7 +354,7 @@
         await curio.spawn(leader.stop, daemon=True)
         await read_elsewhere(system, others)
         assert sum(len(each.seen) for each in system.llm) == 4
-        assert working.doubled_seconds() < TWICE_SECONDS
+        assert working.overlap_seconds() < MAX_OVERLAP_SECONDS
         scored = [headers["request-id"] for each in system.app for _, _, headers in each.seen]
         assert len(scored) == len(set(scored)) == 4
         second = next(each.duties.term for each in others if each.duties.term)
@@ -376,7 +378,7 @@
 def test_a_leader_is_found_though_a_silent_replica_still_names_the_last_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A zone is cut off with the leader and a replica in it: the links to both stay open."""
+    """A zone is disconnected with the leader and a replica in it: the links to both stay open."""
     monkeypatch.setattr(replicas, "SILENT_SECONDS", 60.0)
 
     async def test(system: System) -> None:
@@ -393,14 +395,14 @@
 async def read_elsewhere(
     system: System, others: list[GatewayProcess], events: int = EVENTS
 ) -> None:
-    """Read the step whole at a gateway that goes on."""
+    """Read the complete step at a gateway that continues."""
     await system.until(lambda: any(each.duties.term for each in others), 6.0)
     number = next(each for each, one in enumerate(system.gateways) if one in others)
     texts(await system.read_all("s1", 4, gateway=number), events)
 
 
 class World:
-    """What a runner knows, and the leader that it offers its runs to."""
+    """State known to a runner, and the leader to which it offers its runs."""
 
     def __init__(self) -> None:
         self.epoch: int | None = None
@@ -433,22 +435,22 @@
         return ScoreOutcome(ScoreEnd.SCORED, "good", "200")
 
 
-def test_a_held_run_tells_the_next_leader_what_it_lacks() -> None:
+def test_a_held_run_sends_the_next_leader_the_missing_events() -> None:
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        await world.host.take(first, BEGIN)
+        await world.host.handle(first, BEGIN)
         await curio.sleep(0.15)
         await world.host.lost(first)
         await curio.sleep(0.15)
         assert (world.host.runs, world.engine.working, world.offers) == (1, 1, [])
         world.epoch = 6
-        await curio.sleep(2 * leaderless_runs.LOOK_SECONDS)
+        await curio.sleep(2 * leaderless_runs.CHECK_SECONDS)
         assert [each.samples for each in world.offers] == [["s"]]
         assert [each.earlier_counts for each in world.offers] == [[0]]
         again = BeginRun(
             epoch=6, run=7, engine="e", sample="s", last_event=3, held_epoch=5, held_run=1
         )
-        await world.host.take(second, again)
+        await world.host.handle(second, again)
         await curio.sleep(0.3)
         assert (world.host.runs, world.engine.working, world.held.runs) == (1, 1, {})
         told = [event for news in second.of(RunNews) for event in read_events(news, 0.0)]
@@ -457,7 +459,7 @@
         assert len(told) > 10
         await world.host.lost(second)
         world.epoch = 7
-        await curio.sleep(2 * leaderless_runs.LOOK_SECONDS)
+        await curio.sleep(2 * leaderless_runs.CHECK_SECONDS)
         offer = world.offers[-1]
         assert (offer.epochs, offer.runs) == ([6], [7])
         assert (offer.earlier_counts, offer.earlier_epochs, offer.earlier_runs) == ([1], [5], [1])
@@ -465,17 +467,17 @@
     curio.run(main)
 
 
-def test_a_text_that_was_whole_before_a_leader_came_is_told_with_its_score() -> None:
+def test_a_text_completed_without_a_leader_is_sent_with_its_score() -> None:
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        await world.host.take(first, BEGIN)
+        await world.host.handle(first, BEGIN)
         await curio.sleep(0.1)
         await world.host.lost(first)
         held = world.held.runs["s"].run
         await held.ended(RunOutcome(RunEnd.WHOLE, "200"))
         await held.scored(ScoreOutcome(ScoreEnd.SCORED, "good", "200"))
         again = BeginRun(epoch=6, run=7, engine="e", sample="s", held_epoch=5, held_run=1)
-        await world.host.take(second, again)
+        await world.host.handle(second, again)
         await curio.sleep(0.05)
         news = second.of(RunNews)
         assert [each[:2] for one in news for each in read_ends(one)] == [(7, RunEnd.WHOLE)]
@@ -488,11 +490,11 @@
 
 @pytest.mark.parametrize("why", ["not taken", "cut off", "never begun", "this daemon stops"])
 def test_held_runs_end(why: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(leaderless_runs, "TAKEN_SECONDS", 0.2)
+    monkeypatch.setattr(leaderless_runs, "TAKE_OVER_START_SECONDS", 0.2)
 
     async def main() -> None:
         world, link = World(), FakeLink()
-        await world.host.take(link, BEGIN)
+        await world.host.handle(link, BEGIN)
         await curio.sleep(0.05)
         world.takes = why == "never begun"
         if why != "cut off":
@@ -509,10 +511,10 @@
     curio.run(main)
 
 
-def test_a_run_that_is_not_held_any_more_goes_back_to_its_leader() -> None:
+def test_a_run_that_is_no_longer_held_is_reported_to_its_leader() -> None:
     async def main() -> None:
         world, link = World(), FakeLink()
-        await world.host.take(
+        await world.host.handle(
             link, BeginRun(epoch=6, run=7, engine="e", sample="s", held_epoch=5, held_run=1)
         )
         await curio.sleep(0.05)
@@ -523,13 +525,13 @@
     curio.run(main)
 
 
-def test_a_run_goes_on_at_a_new_link_before_the_end_of_the_old_one_is_noticed() -> None:
+def test_a_run_continues_on_a_new_link_before_the_end_of_the_old_one_is_noticed() -> None:
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        await world.host.take(first, BEGIN)
+        await world.host.handle(first, BEGIN)
         await curio.sleep(0.05)
         again = BeginRun(epoch=5, run=1, engine="e", sample="s", held_epoch=5, held_run=1)
-        await world.host.take(second, again)
+        await world.host.handle(second, again)
         await world.host.lost(first)
         await curio.sleep(0.3)
         assert (world.host.runs, world.engine.working, world.held.runs) == (1, 1, {})
@@ -540,14 +542,14 @@
     curio.run(main)
 
 
-def test_a_gateway_that_stops_says_which_runs_it_does_not_have() -> None:
-    """Guards against a leader that looks for them until the gateway counts as silent."""
+def test_a_stopping_gateway_reports_runs_that_it_does_not_have() -> None:
+    """Guards against a leader that searches for them until the gateway counts as silent."""
 
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        await world.host.take(first, BEGIN)
+        await world.host.handle(first, BEGIN)
         await world.host.stop()
-        await world.host.take(second, BEGIN)
+        await world.host.handle(second, BEGIN)
         ends = [
             each
             for link in (first, second)
@@ -559,13 +561,13 @@
     curio.run(main)
 
 
-def test_a_run_that_begins_elsewhere_anew_is_not_held_beside_it() -> None:
+def test_a_held_run_ends_when_its_sample_is_restarted_here() -> None:
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        await world.host.take(first, BEGIN)
+        await world.host.handle(first, BEGIN)
         await curio.sleep(0.05)
         await world.host.lost(first)
-        await world.host.take(second, BeginRun(epoch=6, run=7, engine="e", sample="s"))
+        await world.host.handle(second, BeginRun(epoch=6, run=7, engine="e", sample="s"))
         await curio.sleep(0.05)
         assert (world.host.runs, world.engine.working, world.held.runs) == (1, 1, {})
 
@@ -573,13 +575,13 @@
 
 
 def test_runs_of_one_name_are_not_left_running() -> None:
-    """A link that the runner takes for alive still has a run that the leader began anew."""
+    """A link that the runner considers alive still has a run that the leader started again."""
 
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        await world.host.take(first, BEGIN)
-        await world.host.take(second, BeginRun(epoch=5, run=9, engine="e", sample="s"))
-        await world.host.take(second, BeginRun(epoch=5, run=10, engine="e"))
+        await world.host.handle(first, BEGIN)
+        await world.host.handle(second, BeginRun(epoch=5, run=9, engine="e", sample="s"))
+        await world.host.handle(second, BeginRun(epoch=5, run=10, engine="e"))
         await curio.sleep(0.05)
         assert world.engine.working == 3
         await world.host.lost(first)
@@ -593,14 +595,14 @@
     curio.run(main)
 
 
-def test_a_leader_that_asks_for_another_run_than_the_held_one_gets_none() -> None:
+def test_a_leader_that_asks_for_another_run_than_the_held_one_gets_no_run() -> None:
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        await world.host.take(first, BEGIN)
+        await world.host.handle(first, BEGIN)
         await curio.sleep(0.05)
         await world.host.lost(first)
         other = BeginRun(epoch=6, run=7, engine="e", sample="s", held_epoch=5, held_run=2)
-        await world.host.take(second, other)
+        await world.host.handle(second, other)
         await curio.sleep(0.05)
         ends = [each for news in second.of(RunNews) for each in read_ends(news)]
         assert [(each.run, each.end) for each in ends] == [(7, RunEnd.STALE)]
@@ -618,7 +620,7 @@
             raise ValueError("a fault")
 
         world.held._ask_leader = raises
-        await world.host.take(link, BEGIN)
+        await world.host.handle(link, BEGIN)
         await curio.sleep(0.05)
         await world.host.lost(link)
         await curio.sleep(0.2)
@@ -636,18 +638,18 @@
             await curio.sleep(LONG_SECONDS)
 
         world.held._ask_leader = hangs
-        await world.host.take(link, BEGIN)
+        await world.host.handle(link, BEGIN)
         await curio.sleep(0.05)
         await world.host.lost(link)
-        await curio.sleep(run_holding.SAME_LEADER_SECONDS + 2 * leaderless_runs.LOOK_SECONDS)
+        await curio.sleep(run_holding.SAME_LEADER_SECONDS + 2 * leaderless_runs.CHECK_SECONDS)
         assert (world.host.runs, world.engine.working) == (0, 0)
 
-    assert run_holding.SAME_LEADER_SECONDS < TWICE_SECONDS
+    assert run_holding.SAME_LEADER_SECONDS < MAX_OVERLAP_SECONDS
     curio.run(main)
 
 
 @pytest.mark.parametrize("what", ["run", "score"])
-def test_a_fault_of_a_run_or_its_scorer_is_told_and_not_waited_for(what: str) -> None:
+def test_an_internal_error_of_a_run_or_its_scorer_is_reported_at_once(what: str) -> None:
     class Faulty:
         async def run(self, _order: RunOrder, _take: EventSink) -> RunOutcome:
             if what == "run":
@@ -659,7 +661,7 @@
 
     async def main() -> None:
         host, link = RunHost(Faulty(), lambda: 5), FakeLink()
-        await host.take(link, BEGIN)
+        await host.handle(link, BEGIN)
         await curio.sleep(0.1)
         news = link.of(RunNews)
         ends = [each.end for one in news for each in read_ends(one)]
--- a/src/pondtiller/gateway/tests/test_held_scorers.py
+++ b/src/pondtiller/gateway/tests/test_held_scorers.py
@@ -1,9 +1,9 @@
-"""Scorers' requests that are held back since engines ended beside them, in a controlled order.
+"""Scorers' requests that are quarantined since engines crashed beside them, in a fixed order.
 
-Seen (soak, seed 2048): whole steps were accepted and never listed. Order of events: a caller's
-content ended two engines within 0.1 s while scorers' requests, which are all alike, ran at both; no
-gateway had an answer of these, so both contents were held back; the engine with the first trial of
-the scorers' requests ended for a reason of its own; the next trial was due a minute later.
+Failure: whole steps were accepted and never listed. A caller's content crashed two engines within
+0.1 s while scorers' requests, which are all alike, ran at both. No gateway had an answer to these,
+so both contents were quarantined. The engine with the first trial of the scorers' requests crashed
+for another reason, and the next trial was due a minute later.
 """
 
 import base64
@@ -36,18 +36,18 @@
 
 
 class Score:
-    """What engines do with scorers' requests.
+    """Behaviour of engines towards scorers' requests.
 
     Attributes
     ----------
     are_answered
-        Whether engines answer them; else these wait, and those that end wait for one of them.
+        Whether engines answer them; otherwise these wait, and crashing requests wait for one.
     are_refused
         Whether engines answer meanwhile that they did not run them.
     ends_late
-        Whether an engine ends `LATE_SECONDS` after a scorer's request was given up there.
+        Whether an engine crashes `LATE_SECONDS` after a scorer's request was given up there.
     crashes
-        Scorers' requests under which an engine ends for a reason of its own.
+        Scorers' requests under which an engine crashes for another reason.
     at_work
         Scorers' requests at each engine.
     """
@@ -60,13 +60,13 @@
         self.at_work: dict[str, int] = {}
 
     async def let_end(self, engine: EndingEngine, exchange: Exchange) -> None:
-        """End under a content only once a scorer's request is at work there too."""
+        """Crash under a content only once a scorer's request is in progress there too."""
         while not self.are_answered and not self.at_work.get(engine.identifier):
             await curio.sleep(0.01)
         await EndingEngine.whole(engine, exchange)
 
     async def answer(self, engine: EndingEngine, exchange: Exchange) -> None:
-        """Answer a scorer's request, wait, or end."""
+        """Answer a scorer's request, wait, or crash."""
         name = engine.identifier
         self.at_work[name] = self.at_work.get(name, 0) + 1
         try:
@@ -89,7 +89,7 @@
             self.at_work[name] -= 1
 
     async def whole(self, engine: EndingEngine, exchange: Exchange) -> None:
-        """Treat a request by whose it is."""
+        """Handle a request by its sender."""
         if exchange.request.headers[names.REQUEST_ID].endswith("-score"):
             await self.answer(engine, exchange)
         elif ends_engine(exchange.request.body):
@@ -105,7 +105,7 @@
 
 
 def is_held_by_all(system: System, content: str) -> bool:
-    return all(each.suspects.is_held(content) for each in system.gateways)
+    return all(each.suspects.is_quarantined(content) for each in system.gateways)
 
 
 async def until_ready(system: System) -> None:
@@ -114,7 +114,7 @@
 
 
 async def hold_beside(system: System, score: Score) -> list[EndingEngine]:
-    """Have a caller's content end two engines at which scorers' requests are at work."""
+    """Have a caller's content crash two engines at which scorers' requests are in progress."""
     engines = await replace_engines(system, "app", 3)
     for engine in engines:
         engine.whole = lambda exchange, engine=engine: score.whole(engine, exchange)
@@ -127,25 +127,25 @@
 
 
 @pytest.mark.parametrize("crashes", [0, 1])
-def test_a_step_is_listed_in_its_time_though_engines_ended_beside_its_scorers_requests(
+def test_a_step_is_listed_in_time_although_engines_crashed_beside_its_scorers_requests(
     tmp_path: Path, crashes: int
 ) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         score = Score(crashes)
         await hold_beside(system, score)
-        held_at = clock.monotonic()
+        is_quarantined_at = clock.monotonic()
         score.are_answered = True
         results = await system.read_all("s1", SAMPLES)
         assert [each["state"] for each in results] == ["succeeded"] * SAMPLES
-        assert clock.monotonic() < held_at + STEP_SECONDS
+        assert clock.monotonic() < is_quarantined_at + STEP_SECONDS
         assert score.crashes == 0
 
     run_system(tmp_path, test, gateways=2)
 
 
-def told_of_scorers(system: System) -> Suspect:
-    """Return what the store holds of the scorers' requests, once they are held back."""
+def stored_scorers_report(system: System) -> Suspect:
+    """Return the stored report on the scorers' requests, once they are quarantined."""
     content = scorers_content()
     spec = system.store.kinds[names.SUSPECTS][content]["spec"]
     told = objects.read_suspect(StoreObject(content, 1, spec))
@@ -154,22 +154,22 @@
 
 
 async def hold_another(system: System, engine: EndingEngine) -> None:
-    """Have an engine, and one more, end under ordinary requests of another content."""
+    """Have an engine, and one more, crash under ordinary requests of another content."""
     for start in (engine.identifier, "e9@1"):
         await system.gateways[0].suspects.note_crash("another", start)
 
 
 async def hold_until_trial(system: System, score: Score) -> EndingEngine:
-    """Hold scorers' requests back; return the engine with the first trial, which it has now."""
+    """Quarantine scorers' requests; return the engine that has the first trial now."""
     engines = await hold_beside(system, score)
-    await system.until(lambda: told_of_scorers(system).trials == 1)
+    await system.until(lambda: stored_scorers_report(system).trials == 1)
     await system.until(lambda: any(score.at_work.get(each.identifier) for each in engines))
     (engine,) = [each for each in engines if score.at_work.get(each.identifier)]
     return engine
 
 
 @pytest.mark.parametrize("are_refused", [False, True])
-def test_trials_that_no_engine_ran_or_that_ended_none_are_not_used_up(
+def test_trials_that_no_engine_ran_or_that_crashed_none_do_not_count(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, are_refused: bool
 ) -> None:
     monkeypatch.setattr(quarantine, "SHARED_TRIAL_PAUSE_SECONDS", 0.5)
@@ -181,7 +181,7 @@
         await hold_beside(system, score)
         score.are_refused = are_refused
         most = len(quarantine.TRIAL_PAUSES_SECONDS)
-        await system.until(lambda: told_of_scorers(system).trials >= most, 15.0)
+        await system.until(lambda: stored_scorers_report(system).trials >= most, 15.0)
         await curio.sleep(SETTLE_SECONDS)
         score.are_refused, score.are_answered = False, True
         answered_at = clock.monotonic()
@@ -192,26 +192,26 @@
 
 
 @pytest.mark.parametrize("is_others", [False, True])
-def test_a_trial_whose_engine_ends_after_its_deadline_is_used_up_unless_another_content_did_it(
+def test_a_trial_whose_engine_crashes_after_its_deadline_counts_unless_another_content_did_it(
     tmp_path: Path, is_others: bool
 ) -> None:
     async def test(system: System) -> None:
         await until_ready(system)
         score = Score()
         engine = await hold_until_trial(system, score)
-        # From here on each of them ends its engine, some time after its sender gave up.
+        # From here on each of them crashes its engine, some time after its sender gave up.
         score.ends_late = True
         if is_others:
             await hold_another(system, engine)
         await system.until(lambda: not score.at_work[engine.identifier])
         await curio.sleep(1.5 * SETTLE_SECONDS)
-        assert told_of_scorers(system).inconclusive == is_others
+        assert stored_scorers_report(system).inconclusive == is_others
 
     run_system(tmp_path, test, gateways=2)
 
 
 @pytest.mark.parametrize("is_others", [False, True])
-def test_a_trial_whose_engine_ends_under_another_content_is_not_used_up(
+def test_a_trial_whose_engine_crashes_under_another_content_does_not_count(
     tmp_path: Path, is_others: bool
 ) -> None:
     async def test(system: System) -> None:
@@ -222,7 +222,7 @@
             await hold_another(system, engine)
         await engine.end()
         await curio.sleep(1.5 * SETTLE_SECONDS)
-        assert told_of_scorers(system).inconclusive == is_others
+        assert stored_scorers_report(system).inconclusive == is_others
 
     run_system(tmp_path, test, gateways=2)
 
@@ -235,15 +235,15 @@
     async def test(system: System) -> None:
         await until_ready(system)
         await hold_beside(system, Score())
-        await system.until(lambda: told_of_scorers(system).trials == 1)
+        await system.until(lambda: stored_scorers_report(system).trials == 1)
         await system.gateways[0].stop()
-        assert told_of_scorers(system).inconclusive == 1
+        assert stored_scorers_report(system).inconclusive == 1
 
     run_system(tmp_path, test)
 
 
 async def hold_together(system: System, contents: list[str]) -> None:
-    """Have two engines end under all of some contents."""
+    """Have two engines crash under all of some contents."""
     for number in range(MAX_CALLER_CRASHES):
         for content in contents:
             await system.gateways[0].suspects.note_crash(content, f"e{number}@1")
@@ -264,12 +264,12 @@
         gateway = system.gateways[0]
         trials = ContentTrials(gateway.engines, gateway.forwarder.ends, gateway.suspects)
         request = ForwardedRequest("q", "POST", "/quote/7", (), b"", 0.0, content="a")
-        assert await trials.take(request, "app", frozenset()) is is_granted
+        assert await trials.try_start(request, "app", frozenset()) is is_granted
 
     run_system(tmp_path, test)
 
 
-def test_contents_that_share_their_ends_and_end_engines_get_no_more_trials_than_others(
+def test_contents_that_share_crashes_get_no_more_trials_than_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     pauses = (0.3, 0.3, 0.3)
@@ -280,7 +280,7 @@
     async def test(system: System) -> None:
         await until_ready(system)
         engines = await replace_engines(system, "app", 3)
-        # Of no tenant.
+        # Without a tenant.
         parts = (b"", b"app.example", b"POST", b"/quote/7")
         contents = [content_digest(*parts, body) for body in bodies]
         await hold_together(system, contents)
--- a/src/pondtiller/gateway/tests/test_homes.py
+++ b/src/pondtiller/gateway/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Homes in a whole small system of two regions: engines elsewhere get nothing."""
+"""Homes in a small system of two regions: engines elsewhere get nothing."""
 
 from pathlib import Path
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 async def put_homes(system: System, **homes: list[str]) -> None:
-    """Give routes homes by name; engine a1 stands in the other region than all else."""
+    """Set homes of routes by name; engine a1 is in the other region than everything else."""
     for gateway in system.gateways:
         gateway.places.regions.update({"z": "south", "y": "north"})
     far = system.app[1]
--- a/src/pondtiller/gateway/tests/test_late_answers.py
+++ b/src/pondtiller/gateway/tests/test_late_answers.py
@@ -1,4 +1,4 @@
-"""Calls whose time is nearly over: what can't be answered in time is not sent."""
+"""Calls whose time is nearly over: those that can't be answered in time are not sent."""
 
 import time
 from typing import Any
@@ -17,10 +17,10 @@
 
 
 @pytest.mark.parametrize(("left_seconds", "is_sent"), [(0.05, False), (0.5, True)])
-def test_a_call_that_could_not_be_answered_in_time_is_told_as_not_run(
+def test_a_call_that_could_not_be_answered_in_time_is_reported_as_not_run(
     left_seconds: float, is_sent: bool
 ) -> None:
-    """Guards against a 504, and a cold engine's share in vain, for a call sent just before it."""
+    """Guards against a 504, and a wasted share of a cold engine, for a call sent just before it."""
     engine = FakeEngine(WORK_SECONDS)
     gateway = Gateway(engine)
     counted: list[float] = []
@@ -53,7 +53,7 @@
 
 
 def test_an_answer_that_is_read_after_a_pause_and_before_its_deadline_goes_back() -> None:
-    """Guards against a 504 in place of an answer that the gateway has."""
+    """Guards against a 504 instead of an answer that the gateway has."""
     gateway = Gateway(FakeEngine(WORK_SECONDS))
 
     async def play() -> Any:
--- a/src/pondtiller/gateway/tests/test_leader_store.py
+++ b/src/pondtiller/gateway/tests/test_leader_store.py
@@ -1,4 +1,4 @@
-"""A leader that the store turns away: its news through replicas, and trainers that do not wait."""
+"""A leader whose calls the store rejects reads through replicas, and trainers do not wait."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -33,7 +33,7 @@
 
 
 class FakeStore:
-    """Holds the versions that trainers name; turns this machine away, or hangs, when told."""
+    """Holds the versions that trainers name; on command rejects this machine, or hangs."""
 
     def __init__(self) -> None:
         self.at = 1
@@ -116,7 +116,7 @@
     engines.replace_entries(entries, 0.0)
     steward = VersionSteward(engines, may_order_from=0.0)
     for entry in entries:
-        steward.reported(entry.engine, dict(entry.models), 0, False)
+        steward.note_report(entry.engine, dict(entry.models), 0, False)
     return steward
 
 
@@ -125,19 +125,19 @@
     found: set[str] = set()
     for _ in MODELS:
         steward.tick(1.0)
-        for order in steward.take():
+        for order in steward.pop_instructions():
             if isinstance(order, OrderVersion):
                 found.add(order.model)
                 models, taken = steward.known[order.engine]
                 loaded = {**models, order.model: order.version}
-                steward.reported(order.engine, loaded, taken + 1, False)
+                steward.note_report(order.engine, loaded, taken + 1, False)
     return found
 
 
 def follow(
     act: Callable[[FakeStore, VersionSteward], Awaitable[None]], may_pass_on: bool = True
 ) -> tuple[FakeStore, VersionSteward]:
-    """Follow a store as a leader does while `act` happens."""
+    """Watch a store as a leader does while `act` happens."""
     store, steward = FakeStore(), steward_of_three()
 
     async def main() -> None:
@@ -155,34 +155,34 @@
     return store, steward
 
 
-async def name_while_turned_away(store: FakeStore, _steward: VersionSteward) -> None:
+async def name_while_rejected(store: FakeStore, _steward: VersionSteward) -> None:
     store.is_refused = True
     for model in MODELS:
         store.name(model, 2)
     await curio.sleep(0.6)
 
 
-def test_no_trainer_waits_for_weights_while_the_leader_is_turned_away() -> None:
-    _, steward = follow(name_while_turned_away)
+def test_no_trainer_waits_for_weights_while_the_store_rejects_the_leader() -> None:
+    _, steward = follow(name_while_rejected)
     assert steward.newest == dict.fromkeys(MODELS, 2)
     assert ordered_models(steward) == set(MODELS)
 
 
-def test_where_nobody_passes_calls_on_a_leader_learns_nothing() -> None:
-    """What the mechanism is for: without it the trainers' next steps have no weights."""
-    _, steward = follow(name_while_turned_away, may_pass_on=False)
+def test_without_forwarded_calls_a_leader_learns_nothing() -> None:
+    """Without replicas that forward calls, the trainers' next steps have no weights."""
+    _, steward = follow(name_while_rejected, may_pass_on=False)
     assert steward.newest == dict.fromkeys(MODELS, 1)
     assert ordered_models(steward) == set()
 
 
-def test_a_store_that_turns_away_is_asked_seldom_and_again_once_it_serves(
+def test_a_rejecting_store_is_called_rarely_and_again_once_it_serves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(relayed_store, "OWN_RETRY_SECONDS", 0.3)
     calls: list[int] = []
 
     async def act(store: FakeStore, steward: VersionSteward) -> None:
-        await name_while_turned_away(store, steward)
+        await name_while_rejected(store, steward)
         calls.append(store.own_calls)
         store.name("a", 3)
         await curio.sleep(0.25)
@@ -195,7 +195,7 @@
 
     _, steward = follow(act)
     assert steward.newest["a"] == 4
-    # Three kinds are followed; in 0.25 s each is asked for once more at the most.
+    # Three kinds are watched; in 0.25 s each is requested at most once more.
     assert calls[1] - calls[0] <= 3
     assert calls[2] > calls[1]
 
@@ -228,7 +228,7 @@
     follow(act)
 
 
-def test_a_step_that_needs_new_weights_runs_while_the_leader_is_turned_away(
+def test_a_step_that_needs_new_weights_runs_while_the_store_rejects_the_leader(
     tmp_path: Path,
 ) -> None:
     async def refused(*_given: object) -> None:
@@ -239,7 +239,7 @@
         leader.store.watch = refused  # type: ignore[method-assign]
         leader.store.list_all = refused  # type: ignore[method-assign]
         for watch in (leader.watches.engines, leader.watches.configuration):
-            # Calls that are under way still end well, after their wait.
+            # Calls in progress still succeed after their wait.
             watch._wait_seconds = 1.0
         await curio.sleep(1.0)
         system.store.put("versions", "m", {"model": "m", "version": 2})
--- a/src/pondtiller/gateway/tests/test_leader_watches.py
+++ b/src/pondtiller/gateway/tests/test_leader_watches.py
@@ -1,4 +1,4 @@
-"""What a leader follows in the store is followed again after a fault."""
+"""A leader's store watches are restarted after an internal error."""
 
 from pathlib import Path
 
--- a/src/pondtiller/gateway/tests/test_leadership.py
+++ b/src/pondtiller/gateway/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""When a gateway stands for leader, and when it must not."""
+"""When a gateway campaigns, and when it must not."""
 
 import curio
 
@@ -8,7 +8,7 @@
 from pondtiller.gateway.tests.no_first_group import NoFirstGroup
 from pondtiller.peers.replicas import LeaderPlace
 from pondtiller.process import clock
-from pondtiller.steplog.instructions import Deposed, Phase, StandDown
+from pondtiller.steplog.instructions import Phase, StepDownReason, SteppedDown
 from pondtiller.wire.steplog import Group, GroupMember, ReplicaView
 
 MEMBER = GroupMember(name="r0", disk="d0", zone="z", host="h", port=1)
@@ -16,27 +16,27 @@
 
 
 class Gateway:
-    """A leadership whose view of the replicas the test sets."""
+    """A leadership whose view of the replicas is set by the test."""
 
     def __init__(self, cores: float = 4.0) -> None:
         place = Address("127.0.0.1", 1)
         source = NoFirstGroup()
         self.leadership = Leadership("me", place, cores, 3, source, GatewayMetrics())
-        self.leadership.may_stand = True
+        self.leadership.may_campaign = True
         self.leader: LeaderPlace | None = None
         view = ReplicaView(replica=MEMBER, group=Group(generation=1, members=[MEMBER]))
         self.leadership.replicas.views = lambda: [view]  # type: ignore[method-assign]
         self.leadership.replicas.leader = lambda: self.leader  # type: ignore[method-assign]
 
     async def stands(self, now: float) -> bool:
-        await self.leadership._consider_standing(now)
+        await self.leadership._campaign_if_due(now)
         stood = self.leadership.log.phase is Phase.PREPARING
         if stood:
             self.leadership.log.phase = Phase.IDLE
         return stood
 
 
-def test_a_gateway_stands_soon_after_the_leader_is_gone_and_never_beside_one() -> None:
+def test_a_gateway_campaigns_soon_after_the_leader_is_gone_and_never_beside_one() -> None:
     async def main() -> None:
         gateway, now = Gateway(), clock.monotonic()
         gateway.leader = OTHER
@@ -48,7 +48,7 @@
     curio.run(main)
 
 
-def test_a_slow_machine_stands_only_where_no_fast_one_has() -> None:
+def test_a_slow_machine_campaigns_only_if_no_fast_one_has() -> None:
     async def main() -> None:
         now = clock.monotonic()
         slow, fast = Gateway(cores=0.5), Gateway(cores=4.0)
@@ -65,11 +65,13 @@
 
 
 def test_a_refused_candidate_waits_for_the_lease_whatever_it_sees_meanwhile() -> None:
-    """Incident 4: each lease that came and went made it stand again, at once."""
+    """Guards against a candidate that campaigned at once whenever a lease started and ended."""
 
     async def main() -> None:
         gateway, now = Gateway(), clock.monotonic()
-        await gateway.leadership._deposed(Deposed(StandDown.PROMISE_REFUSED, 7, wait_seconds=2.0))
+        await gateway.leadership._deposed(
+            SteppedDown(StepDownReason.PROMISE_REFUSED, 7, wait_seconds=2.0)
+        )
         gateway.leader = OTHER
         assert not await gateway.stands(now + 0.1)
         gateway.leader = None
@@ -80,20 +82,20 @@
     curio.run(main)
 
 
-def test_a_gateway_that_resigned_never_stands_again_whatever_its_readiness() -> None:
-    """Housekeeping sets again that a ready gateway may stand; that undid a resignation."""
+def test_a_gateway_that_resigned_never_campaigns_again_whatever_its_readiness() -> None:
+    """Housekeeping sets again that a ready gateway may campaign; that undid a resignation."""
 
     async def main() -> None:
         gateway, now = Gateway(), clock.monotonic()
         await gateway.leadership.resign()
-        gateway.leadership.may_stand = True
+        gateway.leadership.may_campaign = True
         assert not await gateway.stands(now + 1.0)
         assert not await gateway.stands(now + 5.0)
 
     curio.run(main)
 
 
-def test_the_daemon_that_ordered_engines_last_stands_first() -> None:
+def test_the_daemon_that_ordered_engines_last_campaigns_first() -> None:
     async def main() -> None:
         gateway, now = Gateway(cores=0.5), clock.monotonic()
         view = ReplicaView(
--- a/src/pondtiller/gateway/tests/test_lease_renewal.py
+++ b/src/pondtiller/gateway/tests/test_lease_renewal.py
@@ -1,4 +1,4 @@
-"""A leader that nobody replaced during its pause keeps its term and its runs."""
+"""A leader that was not replaced during its pause keeps its term and its runs."""
 
 import time
 from pathlib import Path
@@ -7,8 +7,8 @@
 import pytest
 
 from pondtiller.address import Address
-from pondtiller.gateway.leader.run_links import KEEP_SECONDS, RunnerLink
-from pondtiller.gateway.runs.leaderless_runs import LOOK_SECONDS
+from pondtiller.gateway.leader.run_links import KEEP_RUNS_SECONDS, RunnerLink
+from pondtiller.gateway.runs.leaderless_runs import CHECK_SECONDS
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_held_runs import BEGIN, EVENTS, LONG_SECONDS, World, running
 from pondtiller.gateway.tests.test_runs_elsewhere import ORDER, FakeLink, texts
@@ -23,7 +23,7 @@
 def test_a_pause_longer_than_the_lease_ends_no_term_and_no_run(
     seconds: float, tmp_path: Path
 ) -> None:
-    """Guards against a change of leader that nobody needs, with all runs offered again."""
+    """Guards against an unnecessary change of leader, in which all runs are offered again."""
 
     async def test(system: System) -> None:
         leader, _ = await running(system)
@@ -45,7 +45,7 @@
 
 
 def test_a_leader_without_its_lease_keeps_no_runner_from_a_successor() -> None:
-    """Guards against runs that go on for a leader while its successor begins them anew."""
+    """Guards against runs that continue for a leader while its successor starts them again."""
 
     async def main() -> None:
         link, holds = FakeLink(), [False]
@@ -53,7 +53,7 @@
         runner = RunnerLink(daemon, link, 5, lambda *_: None, holds_lease=lambda: holds[0])
         serving = await curio.spawn(runner.serve)
         run = await curio.spawn(runner.run, ORDER, lambda *event: True)
-        await curio.sleep(2 * KEEP_SECONDS)
+        await curio.sleep(2 * KEEP_RUNS_SECONDS)
         assert link.of(KeepRuns) == []
         holds[0] = True
         await curio.sleep(0.1)
@@ -67,24 +67,24 @@
 
 @pytest.mark.parametrize("is_named", [True, False])
 def test_a_runner_offers_its_runs_to_a_leader_that_returns_from_a_pause(
-    has_service_row: bool,
+    is_named: bool,
 ) -> None:
     """Guards against runs that end just before their leader asks for them again."""
 
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        world.epoch, world.leader_age = 5 if has_service_row else None, 1.0
-        await world.host.take(first, BEGIN)
-        world.host.by_link[first].heard_at -= LEADER_SILENT_SECONDS
+        world.epoch, world.leader_age = 5 if is_named else None, 1.0
+        await world.host.handle(first, BEGIN)
+        world.host.by_link[first].last_message_at -= LEADER_SILENT_SECONDS
         await world.host.lost(first)
-        await curio.sleep(3 * LOOK_SECONDS)
+        await curio.sleep(3 * CHECK_SECONDS)
         assert (world.host.runs, world.offers) == (1, [])
         world.epoch, world.leader_age = 5, 0.05
         while world.host.runs and not world.offers:
             await curio.sleep(0.01)
         assert [each.runs for each in world.offers] == [[1]]
         again = BeginRun(epoch=5, run=1, engine="e", sample="s", held_epoch=5, held_run=1)
-        await world.host.take(second, again)
+        await world.host.handle(second, again)
         await curio.sleep(0.05)
         assert (world.host.runs, world.engine.working, world.held.runs) == (1, 1, {})
 
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("answer", ["not taken", "none"])
-def test_runs_end_that_a_leader_which_returned_does_not_take(answer: str) -> None:
+def test_runs_end_if_a_returned_leader_does_not_take_them(answer: str) -> None:
     async def main() -> None:
         world, link = World(), FakeLink()
         world.epoch, world.leader_age, world.takes = 5, 1.0, False
@@ -102,12 +102,12 @@
                 await curio.sleep(LONG_SECONDS)
 
             world.held._ask_leader = hangs
-        await world.host.take(link, BEGIN)
-        world.host.by_link[link].heard_at -= LEADER_SILENT_SECONDS
+        await world.host.handle(link, BEGIN)
+        world.host.by_link[link].last_message_at -= LEADER_SILENT_SECONDS
         await world.host.lost(link)
-        await curio.sleep(2 * LOOK_SECONDS)
+        await curio.sleep(2 * CHECK_SECONDS)
         world.leader_age = 0.05
-        await curio.sleep(2 * LOOK_SECONDS + RETURNED_LEADER_SECONDS)
+        await curio.sleep(2 * CHECK_SECONDS + RETURNED_LEADER_SECONDS)
         assert (world.host.runs, world.engine.working) == (0, 0)
 
     curio.run(main)
--- a/src/pondtiller/gateway/tests/test_live_limits.py
+++ b/src/pondtiller/gateway/tests/test_live_limits.py
@@ -1,16 +1,11 @@
-"""Requests that are woken together do not leave for an engine beyond its limit.
-
-What happened: callers of a slow engine were served by half of its places: 8 to 11 of 50 in the
-second half of `test_slow_engines_are_not_filled_with_what_they_cannot_answer_in_time`, where it
-answers 12.
-
-Why: a request was counted at its engine when its attempt's task first ran, not when the engine was
-chosen. Of two requests that an answer woke, both saw the same free place. Three stood at an engine
-that was limited to two, the third was answered late, and the limit fell to one; answers that take
-more than half of the objective do not lift it again.
-
-What showed it: each change of the limit with what stood at the engine, in plays without any
-standstill: `(2.13 s, answer of 0.37 s, 3 at the engine, limit 2.4 -> 1.68)` in four of five plays.
+"""Requests that are woken together do not exceed an engine's limit.
+
+Failure: callers of a slow engine were served by half of its slots, 8 to 11 of 50 instead of 12 in
+the second half of `test_slow_engines_are_not_filled_with_what_they_cannot_answer_in_time`. A
+request was counted at its engine when its attempt's task first ran, not when the engine was chosen,
+so two requests that an answer woke both saw the same free slot. Three were sent to an engine
+limited to two, the third was answered late, and the limit fell to one; answers that take more than
+half of the objective do not raise it again.
 """
 
 import curio
@@ -34,7 +29,7 @@
     assert engine.running == 0
 
 
-def test_a_request_whose_caller_leaves_before_its_attempt_began_holds_no_place() -> None:
+def test_a_request_whose_caller_leaves_before_its_attempt_started_reserves_no_slot() -> None:
     gateway = Gateway(FakeEngine(0.05))
     (engine,) = gateway.engines.engines.values()
 
--- a/src/pondtiller/gateway/tests/test_live_load.py
+++ b/src/pondtiller/gateway/tests/test_live_load.py
@@ -36,7 +36,7 @@
 
 @dataclass
 class FakeEngine:
-    """An engine with places and a queue, whose requests take a given time; it refuses when full."""
+    """An engine with slots, a queue and a fixed duration of requests; it refuses when full."""
 
     work_seconds: float
     is_up: bool = True
@@ -47,7 +47,7 @@
     places: Any = field(default_factory=lambda: curio.Semaphore(SLOTS))
 
     async def answer(self, request: str) -> AnswerHead:
-        """Answer as an engine does; 503 without a run where the queue is full."""
+        """Answer as an engine does; 503 without a run if the queue is full."""
         self.seen.append(request)
         if self.present >= SLOTS + QUEUE:
             self.refused += 1
@@ -111,14 +111,14 @@
         pass
 
     async def ask(self, name: str, seconds: float = SECONDS) -> WholeAnswer | Failure:
-        """Ask as a caller does."""
+        """Send a request as a caller does."""
         request = ForwardedRequest(name, "GET", "/", (), b"", clock.monotonic() + seconds)
         return await self.forwarder.whole(request, ROUTE)
 
 
 @dataclass
 class Caller:
-    """What a caller got, which comes back once, when it is told to."""
+    """Answers to a caller that retries once, when told to."""
 
     is_served: bool = False
     refusals: list[float] = field(default_factory=list)
@@ -138,7 +138,7 @@
 
 
 async def burst(gateway: Gateway, count: int, gap: float, seconds: float = SECONDS) -> list[Caller]:
-    """Return what callers got that came one after the other."""
+    """Return the answers to callers that arrive one after the other."""
     tasks = []
     for number in range(count):
         tasks.append(await curio.spawn(call, gateway, f"q{number}", seconds))
@@ -147,7 +147,7 @@
 
 
 def test_callers_wait_while_all_engines_are_gone_for_a_moment() -> None:
-    """Sent on at once, each caller would spend both tries within the quarter of a second."""
+    """If sent on at once, each caller would use both attempts within the quarter of a second."""
     engines = FakeEngine(0.02, is_up=False), FakeEngine(0.02, is_up=False)
     gateway = Gateway(*engines)
 
@@ -160,7 +160,7 @@
 
     callers = curio.run(play)
     assert sum(each.is_served for each in callers) == 20
-    assert not any(each.refusals for each in callers[10:]), "those that came late only waited"
+    assert not any(each.refusals for each in callers[10:]), "late callers only waited"
 
 
 def test_slow_engines_are_not_filled_with_what_they_cannot_answer_in_time() -> None:
@@ -174,7 +174,7 @@
     assert sum(late) >= 0.6 * 10 * 1.25, "the second half is served as well as the first"
     assert engine.refused < 20
     returns = [pause for each in callers for pause in each.refusals]
-    assert len({round(each, 3) for each in returns}) > len(returns) / 2, "returns are spread"
+    assert len({round(each, 3) for each in returns}) > len(returns) / 2, "retries are spread"
 
 
 def test_an_engine_that_cannot_be_reached_is_no_attempt() -> None:
--- a/src/pondtiller/gateway/tests/test_live_streams.py
+++ b/src/pondtiller/gateway/tests/test_live_streams.py
@@ -21,7 +21,7 @@
 
 
 class BreakingConnection:
-    """Breaks off while the request leaves: a part of it may be at the engine."""
+    """Breaks off while the request is sent: a part of it may have arrived at the engine."""
 
     async def send_plain(self, *_given: object) -> None:
         raise BrokenError("connection reset")
--- a/src/pondtiller/gateway/tests/test_mirrored_store.py
+++ b/src/pondtiller/gateway/tests/test_mirrored_store.py
@@ -1,4 +1,4 @@
-"""Gateways that follow the store through replicas: as quick, and right whatever fails."""
+"""Gateways that follow the store through replicas: equally fast, and correct under faults."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -29,9 +29,9 @@
 from pondtiller.store.mirrored_store import (
     ANSWER_SECONDS,
     FIRST_NOT_MIRRORED_SECONDS,
-    LONGEST_NEWS_SECONDS,
-    LONGEST_WAIT_SECONDS,
-    MOST_SILENT_MIRRORS,
+    MAX_NEWS_SECONDS,
+    MAX_SILENT_MIRRORS,
+    MAX_WAIT_SECONDS,
     Mirror,
     MirroredStore,
 )
@@ -44,9 +44,9 @@
 
 @pytest.fixture(autouse=True)
 def few_followers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(mirrors, "FEWEST_FOLLOWERS", 0.5)
-    # A whole system shares this process: on a busy machine it is not served for longer than the
-    # usual limit, and mirrors that come and go are not what these tests are about.
+    monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 0.5)
+    # A whole system shares this process. On a busy machine it is not served for longer than the
+    # usual limit, and these tests do not concern mirrors that come and go.
     monkeypatch.setattr(mirrors, "FRESH_SECONDS", 10.0)
     monkeypatch.setattr(replica_process, "MIRROR_TIMES", mirrors.FollowTimes(0.8, 10.0))
 
@@ -64,8 +64,8 @@
     """Wait until all gateways but the leader read through replicas."""
     await system.until_led()
     for each in system.gateways:
-        # The first answer of a replica that nobody followed yet keeps a gateway away for long,
-        # and a call to the store itself lasts as long as its wait.
+        # The first answer of a replica without followers keeps a gateway away for long, and a call
+        # to the store itself lasts as long as its wait.
         each.mirrored_store._not_before = 0.0
         for watch in watches_of(each):
             watch._wait_seconds = 1.0
@@ -80,7 +80,7 @@
     await system.until(is_mirrored, 15.0)
 
 
-def test_news_reach_all_gateways_through_the_replicas(tmp_path: Path) -> None:
+def test_changes_reach_all_gateways_through_the_replicas(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await mirrored(system)
         before = [sum(each.store.calls.values()) for each in followers(system)]
@@ -99,7 +99,7 @@
     run_system(tmp_path, test, gateways=3)
 
 
-def test_a_mirror_that_does_not_hear_the_store_is_left_for_the_store_itself(
+def test_a_mirror_without_store_contact_is_abandoned_for_the_store(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def refused(*_given: object) -> None:
@@ -111,7 +111,7 @@
             replica.store.watch = refused  # type: ignore[method-assign]
             replica.store.list_all = refused  # type: ignore[method-assign]
         monkeypatch.setattr(mirrors, "FRESH_SECONDS", USUAL_FRESH_SECONDS)
-        # Calls that are under way still bring what changes before their wait is over.
+        # Calls in progress still return what changes before their wait is over.
         await curio.sleep(mirrors.WAIT_SECONDS + 0.1)
         began = clock.monotonic()
         system.store.put("servers", "a0", system.app[0].entry("draining"))
@@ -124,7 +124,7 @@
     run_system(tmp_path, test, gateways=3)
 
 
-def test_a_mirror_that_is_silent_is_left_for_another(tmp_path: Path) -> None:
+def test_a_silent_mirror_is_abandoned_for_another(tmp_path: Path) -> None:
     async def silent(_message: object) -> None:
         await curio.sleep(1000.0)
 
@@ -134,7 +134,7 @@
         name = follower.mirrored_store.reader["servers"]
         replica = next(each for each in system.replicas if each.settings.name == name)
         replica.server.mirror.answer = silent  # type: ignore[method-assign]
-        await curio.sleep(LONGEST_WAIT_SECONDS)
+        await curio.sleep(MAX_WAIT_SECONDS)
         system.store.put("servers", "a0", system.app[0].entry("draining"))
         entry = follower.engines.engines["a0"]
         await system.until(lambda: entry.entry.state.value == "leaving", 4.5)
@@ -144,11 +144,11 @@
 
 
 def test_the_longest_way_to_a_configuration_is_shorter_than_any_bound_for_it() -> None:
-    # Where replicas mirror the store, a configuration must be in force within 3 s.
-    assert LONGEST_NEWS_SECONDS < 2.95
+    # If replicas mirror the store, a configuration must be in force within 3 s.
+    assert MAX_NEWS_SECONDS < 2.95
 
 
-def test_where_all_mirrors_fall_silent_the_store_itself_is_asked_in_time(tmp_path: Path) -> None:
+def test_if_all_mirrors_become_silent_the_store_is_called_in_time(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await mirrored(system)
         follower = followers(system)[0]
@@ -161,14 +161,14 @@
 
         for replica in system.replicas:
             replica.server.mirror.answer = silent  # type: ignore[method-assign]
-        # Calls that are under way still end well; the next one of each gateway is held for the
-        # whole wait, the leader's too.
+        # Calls in progress still succeed; the next one of each gateway lasts for the whole wait,
+        # also the leader's.
         await system.until(lambda: len(held) == len(system.gateways))
         began = clock.monotonic()
         system.store.put("config", "main", configuration(9, *system.app, *system.llm))
         front = follower.front
         await system.until(lambda: front.table.version == 9, 6.0)
-        assert clock.monotonic() - began < LONGEST_NEWS_SECONDS
+        assert clock.monotonic() - began < MAX_NEWS_SECONDS
         assert follower.mirrored_store.reader["config"] == "store"
 
     run_system(tmp_path, test, gateways=2)
@@ -199,16 +199,16 @@
         for each in system.gateways:
             for watch in watches_of(each):
                 watch._wait_seconds = 0.5
-        monkeypatch.setattr(mirrors, "FEWEST_FOLLOWERS", 1000)
+        monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 1000)
         follower = followers(system)[0]
         store = follower.mirrored_store
         store._not_before, store._not_mirrored_seconds = 0.0, FIRST_NOT_MIRRORED_SECONDS
         await system.until(lambda: store._not_before > 0.0)
         await curio.sleep(FIRST_NOT_MIRRORED_SECONDS / 2)
-        # Both kinds were told so meanwhile, and that counts once.
+        # Both kinds got this answer meanwhile, and it counts once.
         assert store._not_mirrored_seconds == 2 * FIRST_NOT_MIRRORED_SECONDS
-        monkeypatch.setattr(mirrors, "FEWEST_FOLLOWERS", 0.5)
-        # A mirror that begins may not tell yet when it is asked, and then rests for 2 s.
+        monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 0.5)
+        # A mirror that starts may not answer yet when it is asked, and then pauses for 2 s.
         await system.until(lambda: "store" not in store.reader.values(), 6.0)
 
     run_system(tmp_path, test, gateways=3)
@@ -240,7 +240,7 @@
 def test_where_few_gateways_follow_each_asks_the_store_itself(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(mirrors, "FEWEST_FOLLOWERS", 6)
+    monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 6)
 
     async def test(system: System) -> None:
         await system.until_led()
@@ -254,7 +254,7 @@
 
 
 class ScriptedLink:
-    """Answers as it is told, and notes with which waits it was asked, in seconds."""
+    """Gives configured answers, and records with which waits it was asked, in seconds."""
 
     def __init__(self, answer: Callable[[ReadMirror], Awaitable[MirrorPage]]) -> None:
         self.answer = answer
@@ -284,7 +284,7 @@
 
 
 class SilentStore:
-    """Answers nothing, and notes when and how it was asked."""
+    """Never answers, and records when and how it was asked."""
 
     def __init__(self) -> None:
         self.asked_at: list[float] = []
@@ -302,7 +302,7 @@
 
 
 class StoreWithSilentConnections:
-    """Answers with a change on new connections; those that are kept are silent."""
+    """Answers with a change on new connections; kept connections are silent."""
 
     def __init__(self) -> None:
         self._has_kept = True
@@ -322,7 +322,7 @@
     async def _answer_on_new_connection(self, longest_seconds: float) -> None:
         if self._has_kept:
             await curio.sleep(longest_seconds)
-            # As the client does where a call got no answer.
+            # As the client does if a call got no answer.
             self._has_kept = False
             raise StoreSilentError("no answer in time")
 
@@ -354,7 +354,7 @@
     curio.run(main)
 
 
-def test_members_that_the_store_turns_away_do_not_keep_a_gateway_from_one_that_it_answers() -> None:
+def test_members_that_the_store_rejects_do_not_hide_one_that_it_answers() -> None:
     links = [ScriptedLink(behind), ScriptedLink(behind), ScriptedLink(tells_a_change)]
 
     async def main() -> None:
@@ -376,13 +376,13 @@
         reader._replicas.group.members = [GroupMember(name=f"r{each}") for each in range(12)]
         began = clock.monotonic()
         assert await reader._ask_members(ReadMirror("config", 5, 0, passes_on=True)) is None
-        assert clock.monotonic() - began < (MOST_SILENT_MIRRORS + 1) * ANSWER_SECONDS
+        assert clock.monotonic() - began < (MAX_SILENT_MIRRORS + 1) * ANSWER_SECONDS
 
     curio.run(main)
 
 
-def test_the_age_of_what_mirrors_tell_counts_towards_the_bound() -> None:
-    """A mirror that was told 1.4 s ago, then is behind; two that are silent; then the store."""
+def test_the_age_of_a_mirrors_answer_counts_towards_the_bound() -> None:
+    """A mirror that answered 1.4 s ago is behind now; two are silent; then the store."""
     bound, age_seconds, behind_after_seconds = 3.0, 1.4, 0.3
     store = SilentStore()
     answers = iter([StoreChanges((), 5, age_seconds)])
@@ -411,8 +411,8 @@
 
 
 @pytest.mark.parametrize("bound", [2.0, 3.0, 4.0])
-def test_connections_that_all_fall_silent_keep_no_change_out_of_force(bound: float) -> None:
-    """Mirrors told what they knew so long ago; then they and kept connections are silent."""
+def test_silence_of_all_connections_keeps_no_change_out_of_force(bound: float) -> None:
+    """Mirrors answered so long ago; then they and kept connections are silent."""
 
     async def change_is_known(age_seconds: float) -> None:
         told = iter([StoreChanges((), 5, age_seconds)])
@@ -440,7 +440,7 @@
 
 
 @pytest.mark.parametrize("bound", [2.0, 3.0, 4.0])
-def test_a_silent_mirror_and_a_store_that_turns_away_keep_no_change_out_of_force(
+def test_a_silent_mirror_and_a_rejecting_store_keep_no_change_out_of_force(
     bound: float,
 ) -> None:
     told = iter([StoreChanges((), 5, 0.0)])
@@ -469,8 +469,8 @@
 
 
 @pytest.mark.parametrize("bound", [2.0, 3.0, 4.0])
-def test_a_listing_goes_out_on_no_connection_that_may_be_silent(bound: float) -> None:
-    """A mirror has forgotten the history; it, the next one and kept connections are silent."""
+def test_a_listing_is_sent_on_no_connection_that_may_be_silent(bound: float) -> None:
+    """A mirror has lost the history; it, the next one and kept connections are silent."""
     listed = curio.Event()
 
     async def forgotten_then_silent(message: ReadMirror) -> MirrorPage:
--- a/src/pondtiller/gateway/tests/test_order_waits.py
+++ b/src/pondtiller/gateway/tests/test_order_waits.py
@@ -1,4 +1,4 @@
-"""By what right a leader orders, and for whose orders it waits."""
+"""When a leader may send an order, and for whose orders it waits."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 from pondtiller.steplog.order_notes import LastOrder
 
 STARTED, BEGAN = 0.0, 100.0
-NO_OFFER = OfferWait(STARTED, BEGAN, BEGAN, is_connecting=False, will_come_again=False)
+NO_OFFER = OfferWait(STARTED, BEGAN, BEGAN, is_connecting=False, will_reoffer=False)
 
 
 def test_the_pause_covers_the_lease_the_note_the_way_and_the_clocks() -> None:
@@ -40,8 +40,8 @@
 
 
 def test_a_new_leader_waits_a_moment_for_offers() -> None:
-    assert are_offers_awaited(NO_OFFER, BEGAN + run_offers.HELD_WAIT_SECONDS - 0.01)
-    assert not are_offers_awaited(NO_OFFER, BEGAN + run_offers.HELD_WAIT_SECONDS + 0.01)
+    assert are_offers_awaited(NO_OFFER, BEGAN + run_offers.OFFER_WAIT_SECONDS - 0.01)
+    assert not are_offers_awaited(NO_OFFER, BEGAN + run_offers.OFFER_WAIT_SECONDS + 0.01)
 
 
 def test_a_leader_that_has_just_started_waits_for_no_offer() -> None:
@@ -49,10 +49,10 @@
     assert not are_offers_awaited(fresh, BEGAN)
 
 
-def test_who_is_connected_to_or_was_asked_to_come_again_is_waited_for_a_while() -> None:
+def test_offers_are_awaited_while_connecting_or_after_a_request_to_offer_again() -> None:
     connecting = NO_OFFER._replace(is_connecting=True)
     assert are_offers_awaited(connecting, BEGAN + CONNECT_SECONDS - 0.01)
     assert not are_offers_awaited(connecting, BEGAN + CONNECT_SECONDS + 0.01)
-    asked = NO_OFFER._replace(texts_read=BEGAN + 5.0, will_come_again=True)
-    assert are_offers_awaited(asked, BEGAN + 5.0 + run_offers.COME_AGAIN_SECONDS - 0.01)
-    assert not are_offers_awaited(asked, BEGAN + 5.0 + run_offers.COME_AGAIN_SECONDS + 0.01)
+    asked = NO_OFFER._replace(texts_read=BEGAN + 5.0, will_reoffer=True)
+    assert are_offers_awaited(asked, BEGAN + 5.0 + run_offers.REOFFER_SECONDS - 0.01)
+    assert not are_offers_awaited(asked, BEGAN + 5.0 + run_offers.REOFFER_SECONDS + 0.01)
--- a/src/pondtiller/gateway/tests/test_orders_of_an_old_table.py
+++ b/src/pondtiller/gateway/tests/test_orders_of_an_old_table.py
@@ -1,4 +1,4 @@
-"""A sample's order is compared with the runner's table, which may be newer than the leader's."""
+"""A sample's order is checked against the runner's table, which may be newer than the leader's."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -52,7 +52,7 @@
 async def outcome_under_newer_table(
     system: System, change: Callable[[dict[str, Any]], None], leaders_version: int
 ) -> RunOutcome:
-    """Change the steps' row at the runner, then have it carry an order out."""
+    """Change the steps' row at the runner, then have it execute an order."""
     gateway = system.gateways[0]
     await system.until(gateway.is_ready)
     table = configuration(NEWER_VERSION, *system.app, *system.llm)
@@ -96,7 +96,7 @@
     run_system(tmp_path, test)
 
 
-def test_a_leader_tells_by_which_table_it_chose_an_engine(
+def test_a_leader_logs_by_which_table_it_chose_an_engine(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test(system: System) -> None:
--- a/src/pondtiller/gateway/tests/test_pauses.py
+++ b/src/pondtiller/gateway/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""A pause of a gateway's process is no silence of runners, engines or replicas."""
+"""A pause of a gateway's process does not count as silence of runners, engines or replicas."""
 
 import time
 from pathlib import Path
@@ -11,14 +11,14 @@
 
 from pondtiller.address import Address
 from pondtiller.gateway.engines.engine_pool import CONNECT_SECONDS, EnginePool, SilentEngineError
-from pondtiller.gateway.leader.run_links import KEEP_SECONDS, RUNNER_SILENT_SECONDS, RunnerLink
+from pondtiller.gateway.leader.run_links import KEEP_RUNS_SECONDS, RUNNER_SILENT_SECONDS, RunnerLink
 from pondtiller.gateway.leader.unfinished_texts import PROGRESS_CALL_SECONDS, UnfinishedTexts
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_held_runs import LONG_SECONDS, running
 from pondtiller.gateway.tests.test_runs_elsewhere import ORDER, FakeLink, texts
 from pondtiller.links.link import Link
 from pondtiller.process import clock
-from pondtiller.process.stalls import LOOK_SECONDS, SETTLE_SECONDS, StallWatch
+from pondtiller.process.stalls import CHECK_SECONDS, SETTLE_SECONDS, StallWatch
 from pondtiller.rollouts import moving
 from pondtiller.rollouts.runner_choice import Daemon
 from pondtiller.standins.engine import StandInEngine
@@ -28,7 +28,7 @@
 
 
 def test_a_pause_of_the_leader_is_no_silence_of_its_runners() -> None:
-    """Guards against runs begun anew since a runner had sent nothing right after a pause."""
+    """Guards against restarted runs since a runner had sent nothing right after a pause."""
 
     async def main() -> None:
         link = FakeLink()
@@ -39,23 +39,23 @@
             run = await curio.spawn(runner.run, ORDER, lambda *event: True)
             await curio.sleep(0.1)
             time.sleep(RUNNER_SILENT_SECONDS)
-            await curio.sleep(SETTLE_SECONDS + KEEP_SECONDS + 0.1)
+            await curio.sleep(SETTLE_SECONDS + KEEP_RUNS_SECONDS + 0.1)
             assert not link.is_lost
             await curio.sleep(RUNNER_SILENT_SECONDS)
             assert link.is_lost
-            assert runner.is_given_up
+            assert runner.was_given_up
             await run.cancel()
             await serving.join()
 
     curio.run(main)
 
 
-def test_a_pause_of_leader_and_runners_begins_no_quiet_run_anew(
+def test_a_pause_of_leader_and_runners_restarts_no_run(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against runners called silent after a pause in which neither side ran."""
-    # No run is moved from an engine that is quiet.
-    monkeypatch.setattr(moving, "MOST_MOVES", 0)
+    """Guards against runners declared silent after a pause in which neither side ran."""
+    # No run is moved from an engine without events.
+    monkeypatch.setattr(moving, "MAX_MOVES", 0)
 
     async def test(system: System) -> None:
         leader, _ = await running(system, EVENTS)
@@ -69,7 +69,7 @@
             while log.lease_until() == before:
                 await curio.sleep(0)
             time.sleep(0.95)
-            await curio.sleep(KEEP_SECONDS + 2 * SETTLE_SECONDS)
+            await curio.sleep(KEEP_RUNS_SECONDS + 2 * SETTLE_SECONDS)
         for engine in system.llm:
             engine.event_seconds = 0.05
         texts(await system.read_all("s1", 4), EVENTS)
@@ -82,7 +82,7 @@
 def test_a_pause_while_connecting_is_no_silence_of_an_engine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against runs that end as their living engine counts as unreachable."""
+    """Guards against runs that end because their running engine counts as unreachable."""
     usual = curio.open_connection
 
     async def connect_slowly(host: str, port: int) -> Any:
@@ -106,14 +106,14 @@
         began = clock.monotonic()
         with pytest.raises(SilentEngineError):
             await pool.open("e", place)
-        assert clock.monotonic() - began < CONNECT_SECONDS + 2 * LOOK_SECONDS
+        assert clock.monotonic() - began < CONNECT_SECONDS + 2 * CHECK_SECONDS
         await serving.cancel()
 
     curio.run(main)
 
 
 def test_a_pause_while_texts_are_read_is_no_silence_of_a_replica() -> None:
-    """Guards against samples that begin from nothing as their texts lay unread."""
+    """Guards against samples that start from nothing because their texts were not read yet."""
 
     async def main() -> None:
         left, right = curio.socket.socketpair()
--- a/src/pondtiller/gateway/tests/test_planned_stop.py
+++ b/src/pondtiller/gateway/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop: who calls to the last moment is answered, or was not passed on."""
+"""A planned stop: requests up to the last moment are answered, or are not forwarded."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 
 
 async def last_words(_process: GatewayProcess) -> None:
-    """Take as long as a leader that answers late may."""
+    """Take as long as a leader's late answer may."""
     await curio.sleep(processes.LAST_USE_SECONDS)
 
 
@@ -23,10 +23,10 @@
     await system.call("POST", "/list/7", b"x", request_id=name)
 
 
-def test_no_request_is_passed_on_that_the_end_of_the_process_cuts(
+def test_no_request_is_forwarded_that_the_end_of_the_process_would_cut(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Between the last look at open requests and the end, requests were passed on and cut."""
+    """Between the last check of open requests and the end, requests were forwarded and cut off."""
     monkeypatch.setattr(processes, "NOT_READY_SECONDS", 0.3)
     monkeypatch.setattr(GatewayProcess, "_tell_last_use", last_words)
     answered: set[str] = set()
--- a/src/pondtiller/gateway/tests/test_rates.py
+++ b/src/pondtiller/gateway/tests/test_rates.py
@@ -1,4 +1,4 @@
-"""Tenants' rates in a whole small system: what gets through at all gateways together."""
+"""Tenants' rates in a small system: requests admitted at all gateways together."""
 
 from pathlib import Path
 from typing import Any
@@ -7,7 +7,7 @@
 import pytest
 
 from pondtiller.coordination.rate_shares import WINDOW_SECONDS
-from pondtiller.gateway.tests.let_through import LetThrough
+from pondtiller.gateway.tests.admissions import Admissions
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_cold import NO_SECOND_TRY_SECONDS
 from pondtiller.gateway.tests.test_tenants import ANN, BOB, KEYS, until_in_force
@@ -20,18 +20,18 @@
 RATE = 10.0
 SUBJECT = subject_of("ann")
 MOST = 11
-"""In any second, with an excess of a tenth."""
-MOST_BURSTS = 3
-"""Bursts until one is undisturbed: each costs 8 s of the 40 s that a test has."""
-MOST_STALL_SECONDS = 0.12
-"""A longer stall of this process counts as a disturbance: a call waits 0.25 s for a share."""
+"""Most requests in any second, with an excess of a tenth."""
+MAX_BURSTS = 3
+"""Bursts until one is undisturbed: each costs 8 s of the 40 s of a test."""
+MAX_STALL_SECONDS = 0.12
+"""A longer pause of this process is a disturbance: a call waits 0.25 s for a share."""
 BURST = 30
-"""Calls at once, three times the rate. Twice as many take longer than the wait for a share on a
-busy machine, and what no leader has answered by then is truly answered 503."""
+"""Concurrent calls, three times the rate. Twice as many take longer than the wait for a share on a
+busy machine, and calls without a leader's answer by then are correctly answered 503."""
 
 
 def put_rate(system: System, version: int, rate: float) -> None:
-    """Put a table in which one of two tenants has a rate."""
+    """Store a table in which one of two tenants has a rate."""
     table = with_tenants(configuration(version, *system.app, *system.llm), KEYS, public=())
     for row in table["tenants"]:
         if row["name"] == "ann":
@@ -40,14 +40,14 @@
 
 
 async def until_granted(system: System) -> None:
-    """Wait until a leader grants anew: nobody holds anything of an earlier one."""
+    """Wait until a leader grants shares again, since none of an earlier leader is held."""
     await system.until_led()
     terms = rate_terms(RATE, 0.1)
     await curio.sleep(terms.quiet_seconds + 0.2)
 
 
 class Callers:
-    """Calls of one tenant at all gateways by turns, with what became of them."""
+    """Calls of one tenant at all gateways in turn, with their answers."""
 
     def __init__(self, system: System, key: str) -> None:
         self.system = system
@@ -69,7 +69,7 @@
         self.answers.append(answer)
 
     async def burst(self, calls: int) -> None:
-        """Call so many times at once; return when all are answered."""
+        """Make so many concurrent calls; return when all are answered."""
         expected = len(self.answers) + calls
         async with Spawner() as group:
             for _ in range(calls):
@@ -77,15 +77,15 @@
             await self.system.until(lambda: len(self.answers) >= expected, 15.0)
 
     async def undisturbed_burst(self, calls: int) -> list[Any]:
-        """Return the answers of a burst during which this process did not stand still.
+        """Return the answers of a burst during which this process was not paused.
 
-        All parts share the process. After a stall that outlasts the wait for a share calls are
-        answered 503, and after one that outlasts the shares 429, all of them: both are true.
+        All parts share the process. After a pause longer than the wait for a share calls are
+        answered 503, and after one longer than the shares' lease 429; both are correct.
         """
-        for _ in range(MOST_BURSTS):
+        for _ in range(MAX_BURSTS):
             first, looks = len(self.answers), len(self.system.stalls)
             await self.burst(calls)
-            if max(self.system.stalls[looks:], default=0.0) < MOST_STALL_SECONDS:
+            if max(self.system.stalls[looks:], default=0.0) < MAX_STALL_SECONDS:
                 return self.answers[first:]
             await curio.sleep(2 * WINDOW_SECONDS)
             await until_granted(self.system)
@@ -103,12 +103,12 @@
     return Callers(system, ANN)
 
 
-def test_a_burst_above_a_rate_is_refused_as_not_run_and_told_when_to_come_back(
+def test_a_burst_above_a_rate_is_rejected_as_not_run_with_a_time_to_retry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without second attempts, which a call whose answer is late here may have beside the first."""
+    """Without hedges, which may start for a call whose answer is late."""
     monkeypatch.setattr(AnswerTimes, "usual_seconds", NO_SECOND_TRY_SECONDS)
-    through = LetThrough(monkeypatch)
+    through = Admissions(monkeypatch)
 
     async def test(system: System) -> None:
         ann = await limited(system)
@@ -143,7 +143,7 @@
 def test_a_rate_holds_through_a_change_of_the_leader(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    through = LetThrough(monkeypatch)
+    through = Admissions(monkeypatch)
 
     async def test(system: System) -> None:
         ann = await limited(system)
@@ -156,7 +156,7 @@
         second = await system.until_led()
         assert second is not first
         assert through.most_in_a_second(SUBJECT) <= MOST
-        # Nothing passes by; who has a share goes on, and all of the rate is granted again.
+        # Nothing bypasses the rate; holders of shares continue, and all of it is granted again.
         assert through.count(SUBJECT) == ann.count(200) > 30
 
     run_system(tmp_path, test, gateways=2, with_configuration=False)
@@ -165,7 +165,7 @@
 def test_a_lower_rate_of_a_new_table_holds_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    through = LetThrough(monkeypatch)
+    through = Admissions(monkeypatch)
 
     async def test(system: System) -> None:
         ann = await limited(system)
--- a/src/pondtiller/gateway/tests/test_replicas.py
+++ b/src/pondtiller/gateway/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Which replicas a daemon keeps a link to."""
+"""Replicas to which a daemon keeps a link."""
 
 import time
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 async def nothing(*_: object) -> None:
-    """Take what the directory tells."""
+    """Ignore what the directory reports."""
 
 
 def directory(replicas: int) -> ReplicaDirectory:
@@ -28,7 +28,7 @@
     now = clock.monotonic()
     for number in range(replicas):
         address = Address("10.0.0.1", number)
-        made.places[address] = ReplicaLink(address, number, heard_at=now)
+        made.places[address] = ReplicaLink(address, number, last_message_at=now)
     return made
 
 
@@ -44,18 +44,18 @@
     assert needed(made) == [1, 4]
 
 
-def test_a_leader_and_a_daemon_that_hears_nobody_follow_all() -> None:
+def test_a_leader_and_a_daemon_without_contact_follow_all() -> None:
     made = directory(3)
     made.group = Group(generation=1, members=[GroupMember(host="10.0.0.1", port=1)])
     made.keeps_all = True
     assert needed(made) == [0, 1, 2]
     made.keeps_all = False
     for place in made.places.values():
-        place.heard_at -= LONELY_SECONDS + 0.1
+        place.last_message_at -= LONELY_SECONDS + 0.1
     assert needed(made) == [0, 1, 2]
 
 
-def test_a_replica_that_is_not_heard_any_more_names_no_leader() -> None:
+def test_an_unresponsive_replica_names_no_leader() -> None:
     made = directory(2)
     silent, heard = made.places.values()
     for place in (silent, heard):
@@ -65,7 +65,7 @@
     leader = made.leader()
     assert leader is not None and leader.name == "g0"
     assert made.disagree()
-    silent.heard_at -= STALE_VIEW_SECONDS + 0.1
+    silent.last_message_at -= STALE_VIEW_SECONDS + 0.1
     assert made.leader() is None
     heard.view = silent.view
     assert made.leader() == leader
@@ -73,7 +73,7 @@
 
 
 class LateReplica:
-    """A replica that is there only after a while; links to it may end at once."""
+    """A replica that starts only after a while; links to it may end at once."""
 
     def __init__(self, seconds: float, link_seconds: float) -> None:
         self.there_at = clock.monotonic() + seconds
@@ -109,7 +109,7 @@
 
 
 class NotedLink:
-    """Notes when it is dropped."""
+    """Records when it is dropped."""
 
     def __init__(self) -> None:
         self.dropped_at = float("inf")
@@ -120,18 +120,18 @@
 
 def test_a_pause_of_this_process_is_no_silence_of_its_replicas() -> None:
     async def main() -> None:
-        place = ReplicaLink(Address("10.0.0.1", 1), 1, heard_at=clock.monotonic())
+        place = ReplicaLink(Address("10.0.0.1", 1), 1, last_message_at=clock.monotonic())
         link: Any = NotedLink()
         await curio.spawn(directory(1)._drop_silent, place, link, daemon=True)
         await curio.sleep(0.1)
         time.sleep(replicas.SILENT_SECONDS + 0.5)
         await curio.sleep(0.1)
         place.note_heard()
-        heard_at = clock.monotonic()
+        last_message_at = clock.monotonic()
         await curio.sleep(replicas.SILENT_SECONDS - 0.2)
         assert link.dropped_at == float("inf")
         await curio.sleep(replicas.SILENT_SECONDS / replicas.SILENT_LOOKS + 0.5)
-        assert link.dropped_at - heard_at >= replicas.SILENT_SECONDS
+        assert link.dropped_at - last_message_at >= replicas.SILENT_SECONDS
 
     curio.run(main)
 
@@ -140,7 +140,7 @@
 def test_replicas_that_start_after_a_gateway_are_found_soon(
     is_on: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a loss of power nobody leads before; with one pause for all tries it takes longer."""
+    """After a power loss no leader exists before; with constant pauses it takes longer."""
     if not is_on:
         monkeypatch.setattr(replicas, "FIRST_RETRY_SECONDS", replicas.RETRY_SECONDS)
     late = follow(monkeypatch, seconds=0.1, link_seconds=1000.0, watched=0.7)
@@ -148,7 +148,7 @@
     assert found_after < 0.2 if is_on else found_after > 0.2
 
 
-def test_a_replica_that_ends_each_link_at_once_is_tried_seldom(
+def test_a_replica_that_closes_each_link_at_once_is_retried_rarely(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     late = follow(monkeypatch, seconds=0.0, link_seconds=0.0, watched=2.0)
--- a/src/pondtiller/gateway/tests/test_request_routing.py
+++ b/src/pondtiller/gateway/tests/test_request_routing.py
@@ -1,4 +1,4 @@
-"""Who is refused at once, and with which answer."""
+"""Requests that are rejected at once, and their answers."""
 
 from dataclasses import replace
 
@@ -79,7 +79,7 @@
         assert isinstance(found, Ok) and found.ok_value.tenant == ""
 
 
-def test_a_key_names_the_tenant_and_an_unknown_one_nobody() -> None:
+def test_a_key_identifies_its_tenant_and_an_unknown_one_none() -> None:
     found = router(table()).route(request("/keyed/1", "any"))
     assert isinstance(found, Ok) and found.ok_value.tenant == "anywhere"
     for key in ("", "nobody's"):
@@ -128,7 +128,7 @@
     return dict(response_to(failure).headers).get("Retry-After")
 
 
-def test_only_what_was_not_run_says_when_to_come_back() -> None:
+def test_only_requests_that_were_not_run_say_when_to_retry() -> None:
     assert retry_after(Failure(ErrorKind.NO_ENGINE)) == str(RETRY_AFTER_SECONDS)
     for kind in (ErrorKind.ENGINE_FAILED, ErrorKind.NOT_FOUND, ErrorKind.UNKNOWN_KEY):
         assert retry_after(Failure(kind)) is None
--- a/src/pondtiller/gateway/tests/test_result_cache.py
+++ b/src/pondtiller/gateway/tests/test_result_cache.py
@@ -1,4 +1,4 @@
-"""Reading steps at a daemon that has read of them before."""
+"""Reading steps at a daemon that has read them before."""
 
 import curio
 
@@ -6,7 +6,7 @@
 from pondtiller.peers.leader_client import LeaderClient
 from pondtiller.peers.replicas import LeaderPlace
 from pondtiller.peers.result_cache import ResultCache
-from pondtiller.rollouts.steps import LARGEST_PAGE_BYTES, StepStatus
+from pondtiller.rollouts.steps import MAX_PAGE_BYTES, StepStatus
 from pondtiller.wire.steplog import ReadResults, ResultsPage, SampleResult
 
 
@@ -22,7 +22,7 @@
 
 
 class Leader:
-    """A leader in the same process: what it holds, and from where it was asked."""
+    """A leader in the same process: its results, and the positions that were requested."""
 
     def __init__(self, listed: int, total: int, text: str = "t") -> None:
         self.results = results(0, listed, text)
@@ -50,7 +50,7 @@
     return curio.run(reader.read, "step", position, 0.0)
 
 
-def test_only_what_was_not_read_before_is_asked_for_and_the_page_is_whole() -> None:
+def test_only_unread_results_are_requested_and_the_page_is_complete() -> None:
     leader = Leader(listed=3, total=6)
     reader = client(leader)
     assert len(read(reader, 0).results) == 3
@@ -61,7 +61,7 @@
     assert (page.next_position, page.total) == (5, 6)
 
 
-def test_a_step_that_is_all_at_hand_is_told_without_asking() -> None:
+def test_a_fully_cached_step_is_answered_without_a_call() -> None:
     leader = Leader(listed=4, total=4)
     reader = client(leader)
     read(reader, 0)
@@ -69,7 +69,7 @@
     assert leader.asked == [0]
 
 
-def test_what_was_read_once_is_told_also_while_there_is_no_leader() -> None:
+def test_cached_results_are_answered_without_a_leader() -> None:
     leader = Leader(listed=3, total=6)
     reader = client(leader)
     read(reader, 0)
@@ -101,7 +101,7 @@
     read(reader, 0)
     leader.results += results(3, 9, "x" * 100_000)
     page = read(reader, 0)
-    assert sum(map(len, page.results)) <= LARGEST_PAGE_BYTES
+    assert sum(map(len, page.results)) <= MAX_PAGE_BYTES
     assert page.next_position == len(page.results)
 
 
--- a/src/pondtiller/gateway/tests/test_runs_elsewhere.py
+++ b/src/pondtiller/gateway/tests/test_runs_elsewhere.py
@@ -1,4 +1,4 @@
-"""Runs at other gateways than the leader: they go on whatever happens to either."""
+"""Runs at other gateways than the leader: they continue whatever happens to either."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -57,7 +57,7 @@
     run_system(tmp_path, test, gateways=3)
 
 
-def test_samples_go_on_where_they_were_when_their_runner_is_lost(tmp_path: Path) -> None:
+def test_samples_continue_after_their_last_event_when_their_runner_is_lost(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         leader = await connected(system, 2)
         for engine in system.llm:
@@ -76,10 +76,10 @@
     run_system(tmp_path, test, gateways=3)
 
 
-def test_a_run_that_meets_a_fault_in_the_leader_goes_on_elsewhere(
+def test_a_run_that_fails_inside_the_leader_continues_elsewhere(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a sample that waits for the end of a run which nobody carries out."""
+    """Guards against a sample that waits for the end of a run which nobody executes."""
     usual, failed = RunnerLink.run, []
 
     async def fails_once(link: RunnerLink, order: RunOrder, take: EventSink) -> RunOutcome:
@@ -117,19 +117,19 @@
 
 
 @pytest.mark.parametrize("is_on", [True, False])
-def test_samples_go_on_where_they_were_when_replicas_do_not_hear_the_leader(
+def test_samples_continue_after_their_last_event_when_replicas_lose_the_leader(
     is_on: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its runs go on until its lease ends; without the texts a successor begins them anew.
+    """Its runs continue until its lease ends; without the texts a successor restarts them.
 
-    No run is held for the successor here: this is the way of those whose runner is lost too.
+    No run is held for the successor here, as if their runner were lost too.
     """
     if not is_on:
-        monkeypatch.setattr(unfinished_texts, "MOST_RELAYS", 0)
-    monkeypatch.setattr(run_holding, "LONGEST_SECONDS", 0.0)
+        monkeypatch.setattr(unfinished_texts, "MAX_RELAYS", 0)
+    monkeypatch.setattr(run_holding, "MAX_SECONDS", 0.0)
 
     async def unheard(*_given: object) -> None:
-        """Lose a message on its way."""
+        """Lose a message in transit."""
 
     async def test(system: System) -> None:
         leader = await connected(system, 2)
@@ -145,7 +145,7 @@
         texts(await system.read_all("s1", 4, gateway=number), 60)
         seen = [headers for engine in system.llm for _, _, headers in engine.seen]
         continued = [int(each["last-event-id"]) for each in seen if "last-event-id" in each]
-        # The lease ends 0.75 s to 1.05 s after the replicas hear nothing; news come each 0.25 s.
+        # The lease ends 0.75 s to 1.05 s after the disconnection; messages come every 0.25 s.
         assert bool(len(continued) >= 4 and min(continued) >= 5) is is_on
 
     run_system(tmp_path, test, gateways=3)
@@ -156,7 +156,7 @@
     takes: bool, tmp_path: Path
 ) -> None:
     waits = Waits()
-    # On a clock of its own: the term's other tasks go on meanwhile, and read the usual one.
+    # On a separate clock: the term's other tasks continue meanwhile, and read the usual one.
     names = {**vars(unfinished_texts), "clock": waits, "curio": waits}
     hand_over = FunctionType(unfinished_texts.UnfinishedTexts.hand_over.__code__, names)
 
@@ -167,7 +167,7 @@
             engine.events, engine.event_seconds = 60, 0.05
         assert await system.submit("s1", samples=4) == 202
         await system.until(lambda: any(each.text.events for each in term.scheduler.work.values()))
-        relays = term.runners.relays(unfinished_texts.MOST_RELAYS)
+        relays = term.runners.relays(unfinished_texts.MAX_RELAYS)
         assert len(relays) == 2
         for link in relays:
             push, link._push = link._push, lambda: None
@@ -181,9 +181,9 @@
 
 
 class Waits:
-    """A clock that goes on by what the leader waits alone, however busy this machine is.
+    """A clock that advances only by the leader's waits, however busy this machine is.
 
-    All else of `curio` and `clock` is theirs.
+    Everything else is passed to `curio` and `clock`.
     """
 
     def __init__(self) -> None:
@@ -201,10 +201,9 @@
 
 
 async def _take_later(link: Link, push: Callable[[], None]) -> None:
-    """Have a link take what waits once something does, and what comes then, as it did before.
+    """Have a link process what is waiting in the next turn of the loop, then resume.
 
-    It does so at the next turn of the loop, not after a time: a process that stands still for a
-    moment would otherwise reach the end of the leader's wait first.
+    A time would not do: if the process were paused, the leader's wait could end first.
     """
     while not link.has_unsent:
         await curio.sleep(0)
@@ -213,7 +212,7 @@
 
 
 class FakeLink:
-    """A link whose other side the test plays."""
+    """A link whose other side is played by the test."""
 
     def __init__(self) -> None:
         self.is_lost = False
@@ -235,7 +234,7 @@
 
 
 class Engine:
-    """A runner whose engine makes an event each 20 ms, for ever."""
+    """A runner whose engine makes an event every 20 ms, without end."""
 
     def __init__(self) -> None:
         self.working = 0
@@ -253,14 +252,14 @@
             self.working -= 1
 
 
-def test_runs_end_when_their_leader_is_silent_and_what_they_made_is_told() -> None:
+def test_runs_end_when_their_leader_is_silent_and_their_events_are_sent() -> None:
     async def main() -> None:
         engine, link = Engine(), FakeLink()
         host = RunHost(engine, lambda: 5)
-        await host.take(link, BEGIN)
+        await host.handle(link, BEGIN)
         for _ in range(4):
             await curio.sleep(0.3)
-            await host.take(link, KeepRuns(epoch=5))
+            await host.handle(link, KeepRuns(epoch=5))
         assert (host.runs, engine.working) == (1, 1)
         await curio.sleep(leader_runs.LEADER_SILENT_SECONDS + leader_runs.NEWS_SECONDS + 0.2)
         assert (host.runs, engine.working, link.is_lost) == (0, 0, True)
@@ -271,11 +270,11 @@
     curio.run(main)
 
 
-def test_a_leader_of_an_older_epoch_begins_nothing() -> None:
+def test_a_leader_of_an_older_epoch_starts_nothing() -> None:
     async def main() -> None:
         engine, link = Engine(), FakeLink()
         host = RunHost(engine, lambda: 6)
-        await host.take(link, BEGIN)
+        await host.handle(link, BEGIN)
         await curio.sleep(0.05)
         assert (host.runs, engine.working, link.is_lost) == (0, 0, True)
 
@@ -286,12 +285,12 @@
     async def main() -> None:
         engine, link = Engine(), FakeLink()
         host = RunHost(engine, lambda: 5)
-        await host.take(link, BEGIN)
-        await host.take(link, BeginRun(epoch=5, run=2, engine="e"))
-        await host.take(link, DropRun(run=1))
+        await host.handle(link, BEGIN)
+        await host.handle(link, BeginRun(epoch=5, run=2, engine="e"))
+        await host.handle(link, DropRun(run=1))
         await curio.sleep(0.05)
         assert (host.runs, engine.working) == (1, 1)
-        # The leader begins the sample elsewhere once it is told that the engine has been left.
+        # The leader starts the sample elsewhere once it is told that the engine has been left.
         told = [each for news in link.of(RunNews) for each in read_ends(news)]
         assert told == [EndedRun(1, RunEnd.STALE, "dropped")]
         await host.lost(link)
@@ -302,7 +301,7 @@
     curio.run(main)
 
 
-def test_a_silent_runner_is_left_and_its_runs_are_nobodys_fault() -> None:
+def test_a_silent_runner_is_given_up_and_its_runs_count_as_no_failure() -> None:
     async def main() -> None:
         link = FakeLink()
         daemon = Daemon("d", "z", Address("10.0.0.1", 1), 1.0)
--- a/src/pondtiller/gateway/tests/test_scaling_duty.py
+++ b/src/pondtiller/gateway/tests/test_scaling_duty.py
@@ -1,4 +1,4 @@
-"""Orders of engines by a whole small system."""
+"""Orders of engines by a small system."""
 
 from pathlib import Path
 from typing import Any
@@ -23,14 +23,16 @@
 
 
 class Wanted:
-    """A policy that wants so many engines in one zone until that is ordered."""
+    """A policy that wants so many engines in one zone until they are ordered."""
 
     def __init__(self, desired: int) -> None:
         self.desired = desired
 
     def orders(self, state: ServiceScale, now: float) -> list[ScaleOrder]:
         last = state.last.get(("z", False))
-        if state.is_dry("z", False, now) or (last is not None and last.desired == self.desired):
+        if state.has_no_capacity("z", False, now) or (
+            last is not None and last.desired == self.desired
+        ):
             return []
         return [ScaleOrder(state.service, "z", self.desired, False)]
 
@@ -106,7 +108,7 @@
         duty(leader).policy = Wanted(3)
         await system.until(lambda: leader.metrics.scale_orders_failed == 1)
         state = duty(leader).states["llm"]
-        assert state.is_dry("z", False, clock.monotonic())
+        assert state.has_no_capacity("z", False, clock.monotonic())
         assert state.last == {}
         await system.until(lambda: len(system.operator.scales) == 2, 12.0)
 
@@ -126,7 +128,7 @@
         duty(other).policy = Wanted(2)
         await system.until(lambda: len(system.operator.scales) == 2, 20.0)
         lease = other.settings.durations.lease
-        # The call left within NOTE_SECONDS of the note, from which the pause counts.
+        # The call was sent within NOTE_SECONDS of the note, from which the pause counts.
         assert clock.monotonic() - last_at >= lease + CALL_SECONDS
         (first, low, _), (second, high, order) = system.operator.scales
         assert first != second and high > low
--- a/src/pondtiller/gateway/tests/test_stale_configuration.py
+++ b/src/pondtiller/gateway/tests/test_stale_configuration.py
@@ -1,4 +1,4 @@
-"""Log lines that tell by which configuration a request was decided, and how old it was."""
+"""Log lines with the configuration that decided about a request, and its age."""
 
 from pathlib import Path
 from typing import Any
--- a/src/pondtiller/gateway/tests/test_stalls.py
+++ b/src/pondtiller/gateway/tests/test_stalls.py
@@ -1,17 +1,12 @@
-"""A gateway that stood still takes neither engines nor other gateways for silent.
+"""After a pause of its process, a gateway considers neither engines nor other gateways silent.
 
-What happened: after a pause of 0.2 to 0.9 s all runs left their engines at once, or a runner ended
-the runs that it had offered to the next leader. Engines were asked for 6, 7 or 8 samples where 4
-were to go on, and were paused for live requests as if they had failed.
+Failure: after a pause of 0.2 to 0.9 s all runs were moved from their engines at once, or a runner
+ended the runs that it had offered to the next leader. Engines were asked for 6, 7 or 8 samples
+instead of 4, and were paused for live requests as if they had failed.
 
-Why: what came during the pause waits in sockets, and timers fire before it is read. A runner's
-first news after the pause said that nothing had come until then; the pause stood in the gaps
-between events, so an engine looked slow; and a wait for an answer ended with the answer unread.
-
-What showed it: decisions of six failed runs. `test_process_stalled seconds=0.601`, then 0.11 s
-later `sample_run_cancelled reason=slow` of all four runs (five logs; `silent` in one, after
-0.686 s); in the sixth `held_runs_ended reason="the leader that is named does not answer"` right
-after `test_process_stalled seconds=0.571`, and the leader's answer 15 ms later.
+Cause: what arrived during the pause waits in sockets, and timers fire before it is read. A runner's
+first message after the pause said that nothing had arrived until then; the pause was part of the
+gaps between events, so engines looked slow; and a wait for an answer ended with the answer unread.
 """
 
 import time
@@ -22,7 +17,7 @@
 
 from pondtiller.address import Address
 from pondtiller.gateway.leader import run_offers, runner_directory
-from pondtiller.gateway.leader.run_links import KEEP_SECONDS, RUNNER_SILENT_SECONDS, RunnerLink
+from pondtiller.gateway.leader.run_links import KEEP_RUNS_SECONDS, RUNNER_SILENT_SECONDS, RunnerLink
 from pondtiller.gateway.tests.system import System, run_system
 from pondtiller.gateway.tests.test_held_runs import (
     BEGIN,
@@ -35,8 +30,8 @@
 from pondtiller.links.link import CONNECT_SECONDS, Link, open_link
 from pondtiller.peers.replicas import STALE_VIEW_SECONDS
 from pondtiller.process import clock
-from pondtiller.process.stalls import LOOK_SECONDS, StallWatch
-from pondtiller.rollouts.run_holding import LEADER_SILENT_SECONDS, TAKEN_SECONDS
+from pondtiller.process.stalls import CHECK_SECONDS, StallWatch
+from pondtiller.rollouts.run_holding import LEADER_SILENT_SECONDS, TAKE_OVER_START_SECONDS
 from pondtiller.rollouts.runner_choice import Daemon
 from pondtiller.wire.steplog import BeginRun, KeepRuns, RunNews
 
@@ -44,7 +39,7 @@
 
 
 @pytest.mark.parametrize("seconds", [0.15, 0.25, 0.4, 0.65])
-def test_a_standstill_moves_no_run(seconds: float, tmp_path: Path) -> None:
+def test_a_pause_moves_no_run(seconds: float, tmp_path: Path) -> None:
     async def test(system: System) -> None:
         leader = await connected(system, 2)
         for engine in system.llm:
@@ -63,7 +58,7 @@
     run_system(tmp_path, test, gateways=3)
 
 
-def test_a_run_of_the_leader_itself_is_not_moved_by_a_standstill(tmp_path: Path) -> None:
+def test_a_run_of_the_leader_itself_is_not_moved_by_a_pause(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await system.until_led()
         for engine in system.llm:
@@ -81,12 +76,12 @@
 
 
 @pytest.mark.parametrize("held_wait_seconds", [0.5, 2.0])
-def test_a_standstill_while_runs_are_offered_ends_none(
+def test_a_pause_while_runs_are_offered_ends_none(
     held_wait_seconds: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The runner's wait for the answer ended, with 0.5 the leader's wait for offers too."""
+    """The runner's wait for the answer ended; with 0.5 s also the leader's wait for offers."""
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
-    monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", held_wait_seconds)
+    monkeypatch.setattr(run_offers, "OFFER_WAIT_SECONDS", held_wait_seconds)
 
     async def test(system: System) -> None:
         leader, _ = await running(system)
@@ -106,7 +101,7 @@
 ) -> None:
     """Guards against runs that end since the connection to their runner counted as too late."""
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
-    monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", 1.0)
+    monkeypatch.setattr(run_offers, "OFFER_WAIT_SECONDS", 1.0)
 
     async def open_slowly(address: Address) -> Link:
         await curio.sleep(0.3)
@@ -128,12 +123,12 @@
     run_system(tmp_path, test, gateways=3)
 
 
-def test_a_standstill_as_a_leader_is_lost_is_no_cut_from_the_replicas(
+def test_a_pause_as_a_leader_is_lost_is_no_disconnection_from_the_replicas(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Their views, sent each second, lay unread: `held_runs_ended reason="... are not heard"`."""
+    """The replicas' views, sent every second, were unread, so the replicas counted as silent."""
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
-    monkeypatch.setattr(run_offers, "HELD_WAIT_SECONDS", 2.0)
+    monkeypatch.setattr(run_offers, "OFFER_WAIT_SECONDS", 2.0)
 
     async def test(system: System) -> None:
         leader, _ = await running(system)
@@ -161,8 +156,8 @@
 
         world.epoch = 5
         world.held._leader_age = answers_late
-        await world.host.take(link, BEGIN)
-        world.host.by_link[link].heard_at -= LEADER_SILENT_SECONDS
+        await world.host.handle(link, BEGIN)
+        world.host.by_link[link].last_message_at -= LEADER_SILENT_SECONDS
         await world.host.lost(link)
         await curio.sleep(0.6)
         assert len(asked) > 1
@@ -171,28 +166,30 @@
     curio.run(main)
 
 
-def test_a_run_that_was_taken_is_not_ended_while_its_begin_waits_to_be_read(tmp_path: Path) -> None:
-    """It is ended where the leader does not begin it in `TAKEN_SECONDS`, in which this one ran."""
+def test_a_run_that_was_taken_over_is_not_ended_while_its_start_waits_to_be_read(
+    tmp_path: Path,
+) -> None:
+    """It ends only if not started within `TAKE_OVER_START_SECONDS` of running time."""
 
     async def main() -> None:
         world, first, second = World(), FakeLink(), FakeLink()
-        await world.host.take(first, BEGIN)
+        await world.host.handle(first, BEGIN)
         world.epoch = 6
         await world.host.lost(first)
-        while world.host.runs and not any(each.taken_until for each in world.held.runs.values()):
+        while world.host.runs and not any(each.start_due_at for each in world.held.runs.values()):
             await curio.sleep(0)
-        time.sleep(TAKEN_SECONDS + 0.3)
-        # The message comes only after other tasks ran, as one that waits in a socket does.
+        time.sleep(TAKE_OVER_START_SECONDS + 0.3)
+        # The message arrives only after other tasks ran, like one that waits in a socket.
         await curio.sleep(0.01)
         again = BeginRun(epoch=6, run=7, engine="e", sample="s", held_epoch=5, held_run=1)
-        await world.host.take(second, again)
+        await world.host.handle(second, again)
         await curio.sleep(0.05)
         assert (world.host.runs, world.engine.working) == (1, 1)
 
     curio.run(main)
 
 
-def test_a_leader_that_stood_still_waits_for_offers_as_long_as_one_that_did_not(
+def test_a_paused_leader_waits_for_offers_as_long_as_one_that_was_not(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(run_offers, "FRESH_START_SECONDS", 0.0)
@@ -200,22 +197,22 @@
     async def test(system: System) -> None:
         leader = await system.until_led()
         offers = leader.duties.term.offers
-        time.sleep(2 * run_offers.HELD_WAIT_SECONDS)
+        time.sleep(2 * run_offers.OFFER_WAIT_SECONDS)
         assert offers.are_awaited(clock.monotonic())
-        await curio.sleep(run_offers.HELD_WAIT_SECONDS + LOOK_SECONDS)
+        await curio.sleep(run_offers.OFFER_WAIT_SECONDS + CHECK_SECONDS)
         assert not offers.are_awaited(clock.monotonic())
 
     run_system(tmp_path, test)
 
 
-def test_a_runner_that_stood_still_reads_what_its_leader_said_before_it_leaves_it() -> None:
+def test_a_paused_runner_reads_its_leaders_messages_before_giving_it_up() -> None:
     async def main() -> None:
         world, link = World(), FakeLink()
-        await world.host.take(link, BEGIN)
+        await world.host.handle(link, BEGIN)
         await curio.sleep(0.3)
         time.sleep(LEADER_SILENT_SECONDS)
         await curio.sleep(0.01)
-        await world.host.take(link, KeepRuns(epoch=5))
+        await world.host.handle(link, KeepRuns(epoch=5))
         await curio.sleep(0.1)
         assert not link.is_lost
         assert (world.host.runs, world.held.runs) == (1, {})
@@ -223,8 +220,8 @@
     curio.run(main)
 
 
-def test_a_leader_that_stood_still_reads_what_its_runners_said_before_it_leaves_them() -> None:
-    """All runs of a runner would begin anew at other engines."""
+def test_a_paused_leader_reads_its_runners_messages_before_giving_them_up() -> None:
+    """Otherwise all runs of a runner would be restarted at other engines."""
 
     async def main() -> None:
         link, needed = FakeLink(), [True]
@@ -238,7 +235,7 @@
         time.sleep(RUNNER_SILENT_SECONDS)
         await curio.sleep(0.01)
         await runner._take(link, 0, RunNews())
-        await curio.sleep(KEEP_SECONDS + 0.1)
+        await curio.sleep(KEEP_RUNS_SECONDS + 0.1)
         assert not link.is_lost
         await run.cancel()
         await link.drop()
--- a/src/pondtiller/gateway/tests/test_stalls_live.py
+++ b/src/pondtiller/gateway/tests/test_stalls_live.py
@@ -1,15 +1,10 @@
-"""A standstill of a gateway is no lateness of its engines, for callers.
+"""A pause of a gateway does not count as lateness of its engines, for callers.
 
-What happened: after a standstill of 0.25 to 0.4 s the gateway sent half as many requests to an
-engine and refused the others: 7 of 50 callers served where 10 to 14 are.
-
-Why: an answer that took 0.2 s of the engine's time lay unread meanwhile and counted as 0.55 s, over
-the objective of 0.3 s, so the engine's limit fell from 2.1 to 1.4: one place of two. It rises again
-only by answers within half of the objective.
-
-What showed it: the limit's changes beside the standstill, in plays of the listed test's load with
-one standstill each: `(1.35 s, 4 running, 4.9 -> 2.8), (1.96 s, 2 running, 2.8 -> 1.4)` after one of
-0.35 s at 1.0 s and 7 served in the second half; 14 served without a standstill.
+Failure: after a pause of 0.25 to 0.4 s the gateway sent half as many requests to an engine and
+rejected the others: 7 of 50 callers were served instead of 10 to 14. An answer that took the engine
+0.2 s was not read meanwhile and counted as 0.55 s, over the objective of 0.3 s, so the engine's
+limit fell from 2.1 to 1.4, that is to one slot of two. It only rises again by answers within half
+of the objective.
 """
 
 import time
@@ -22,7 +17,7 @@
 from pondtiller.routes.silent_zones import SilentZones
 
 
-def test_a_standstill_lowers_no_engines_limit() -> None:
+def test_a_pause_lowers_no_engines_limit() -> None:
     gateway = Gateway(FakeEngine(0.05))
 
     async def play() -> None:
@@ -38,7 +33,7 @@
     assert engine.answer_seconds < 0.2
 
 
-def test_a_deadline_that_passes_in_a_standstill_lowers_no_engines_limit() -> None:
+def test_a_deadline_that_passes_in_a_pause_lowers_no_engines_limit() -> None:
     gateway = Gateway(FakeEngine(0.3))
 
     async def play() -> None:
@@ -52,8 +47,8 @@
     assert engine.limit.value is None
 
 
-def test_a_standstill_makes_no_zone_silent() -> None:
-    """Engines of the zone came last for 0.8 s, for all callers."""
+def test_a_pause_marks_no_zone_as_silent() -> None:
+    """Otherwise engines of the zone come last for 0.8 s, for all callers."""
     gateway = Gateway(FakeEngine(5.0), FakeEngine(5.0))
     silent = SilentZones("another zone")
     gateway.forwarder.zones = ZoneReach(silent)
@@ -69,8 +64,8 @@
     assert not silent.is_silent("z", clock.monotonic())
 
 
-def test_a_standstill_sends_no_request_to_a_second_engine() -> None:
-    """An answer that lies unread comes before a hedge, which would run the request twice."""
+def test_a_pause_sends_no_request_to_a_second_engine() -> None:
+    """An unread answer comes before a hedge, which would run the request twice."""
     engines = FakeEngine(0.05), FakeEngine(0.05)
     gateway = Gateway(*engines)
 
--- a/src/pondtiller/gateway/tests/test_step_requests.py
+++ b/src/pondtiller/gateway/tests/test_step_requests.py
@@ -1,4 +1,4 @@
-"""What a trainer is answered by the status of a step, and how long one read may wait."""
+"""Answers to a trainer by the status of a step, and the longest wait of one read."""
 
 from typing import Any, cast
 
@@ -6,7 +6,7 @@
 import pytest
 
 from pondtiller.gateway.callers.failure_answers import FailureAnswers
-from pondtiller.gateway.callers.step_requests import LONGEST_READ_WAIT_SECONDS, StepRequests
+from pondtiller.gateway.callers.step_requests import MAX_READ_WAIT_SECONDS, StepRequests
 from pondtiller.gateway.metrics import GatewayMetrics
 from pondtiller.httpio.messages import HttpRequest, HttpResponse, parse_target
 from pondtiller.platform.requests import read_request
@@ -18,7 +18,7 @@
 
 
 class PlayedSteps:
-    """Answers each call with one status, and notes the reads."""
+    """Answers each call with one status, and records the reads."""
 
     def __init__(self, status: StepStatus) -> None:
         self.status = status
@@ -36,7 +36,7 @@
 
 
 class PlayedExchange:
-    """Takes the answer; the caller stays."""
+    """Receives the answer; the caller stays connected."""
 
     def __init__(self, request: HttpRequest) -> None:
         self.request = request
@@ -52,7 +52,7 @@
 def answer(
     steps: PlayedSteps, method: str, target: str, *headers: tuple[str, str], tenant: str = ""
 ) -> HttpResponse:
-    """Return how a request about a step is answered."""
+    """Return the answer to a request about a step."""
     received = parse_target(method, target, headers, b"")
     exchange = cast(Any, PlayedExchange(received))
     trainers = StepRequests(cast(Any, steps), cast(Any, None), FailureAnswers(GatewayMetrics()))
@@ -80,15 +80,15 @@
     assert dict(response.headers).get("Retry-After") == retry_after
 
 
-def test_a_read_waits_no_longer_than_its_bound_and_begins_at_no_negative_position() -> None:
+def test_a_read_waits_no_longer_than_its_bound_and_starts_at_no_negative_position() -> None:
     steps = PlayedSteps(StepStatus.OK)
     answer(steps, "GET", f"{STEP}?since_rev=-3", ("wait-ms", "60000"))
     answer(steps, "GET", f"{STEP}?since_rev=7", ("wait-ms", "300"), tenant="ann")
-    assert steps.reads == [("s1", 0, LONGEST_READ_WAIT_SECONDS), ("ann@s1", 7, 0.3)]
+    assert steps.reads == [("s1", 0, MAX_READ_WAIT_SECONDS), ("ann@s1", 7, 0.3)]
 
 
 @pytest.mark.parametrize(("query", "wait"), [("?since_rev=x", "300"), ("", "long")])
-def test_a_read_with_what_is_no_number_is_refused(query: str, wait: str) -> None:
+def test_a_read_with_a_malformed_number_is_rejected(query: str, wait: str) -> None:
     steps = PlayedSteps(StepStatus.OK)
     assert answer(steps, "GET", STEP + query, ("wait-ms", wait)).status == 400
     assert steps.reads == []
--- a/src/pondtiller/gateway/tests/test_suspended.py
+++ b/src/pondtiller/gateway/tests/test_suspended.py
@@ -1,6 +1,6 @@
-"""A machine that is suspended: timers stand still, the clock of every promise has moved on.
+"""A suspended machine: timers stop, but the clock that leases and deadlines use continues.
 
-Each test lets the clock jump through its one seam and looks at one promise, right after waking.
+Each test advances that clock and checks one guarantee right after the machine wakes up.
 """
 
 import time
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def sleep(monkeypatch: pytest.MonkeyPatch) -> Sleep:
-    """Return what suspends the machine: no timer moves, the clock does."""
+    """Return a function that suspends the machine: no timer advances, the clock does."""
     real, slept = clock.monotonic, [0.0]
     monkeypatch.setattr(clock, "monotonic", lambda: real() + slept[0])
 
@@ -48,12 +48,12 @@
     return suspend
 
 
-def test_the_clock_of_promises_counts_the_time_asleep() -> None:
+def test_the_clock_counts_the_time_of_a_suspension() -> None:
     assert abs(clock.monotonic() - time.clock_gettime(time.CLOCK_BOOTTIME)) < 0.5
 
 
 @pytest.mark.parametrize("seconds", [3.0, 10.0])
-def test_a_leader_that_slept_through_its_lease_neither_leads_nor_answers(
+def test_a_leader_suspended_beyond_its_lease_neither_leads_nor_answers(
     tmp_path: Path, sleep: Sleep, seconds: float
 ) -> None:
     async def test(system: System) -> None:
@@ -71,11 +71,11 @@
         sleep(seconds)
         assert not leader.leadership.log.holds_lease(clock.monotonic())
         assert not term.orders.may_act("place")
-        # What was asked before it slept is not answered out of a lease that is over.
+        # A call received before the suspension is not answered under an expired lease.
         now_asked = await leader.duties.answer(ReadResults(id="s1"))
         assert now_asked.status != 1
         await read.cancel()
-        # It leads again once the replicas have said so, and everything is there.
+        # It leads again once the replicas have agreed, with all state present.
         await system.until_led()
         listed = await system.read_all("s1", 4)
         assert len(listed) == 4
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("seconds", SLEPT)
-def test_an_order_whose_connection_came_up_while_asleep_does_not_leave(
+def test_an_order_whose_connection_opened_during_a_suspension_is_not_sent(
     sleep: Sleep, seconds: float
 ) -> None:
     async def main() -> None:
@@ -115,7 +115,7 @@
     curio.run(main)
 
 
-def test_a_request_whose_deadline_passed_while_asleep_is_not_sent_and_said_not_to_have_run(
+def test_a_request_whose_deadline_passed_during_a_suspension_is_reported_as_not_run(
     sleep: Sleep,
 ) -> None:
     async def main() -> None:
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("seconds", SLEPT)
-def test_a_share_of_a_rate_ends_while_asleep(sleep: Sleep, seconds: float) -> None:
+def test_a_share_of_a_rate_expires_during_a_suspension(sleep: Sleep, seconds: float) -> None:
     terms = RateTerms(100, 100, lease_seconds=0.9)
     asker = ShareAsker("g", lambda *_: None, lambda: None)  # type: ignore[arg-type,return-value]
     held = asker.held("tenant/a", terms)
@@ -160,25 +160,27 @@
     assert not asker.take("tenant/a", clock.monotonic())
 
 
-def test_keys_are_not_trusted_after_a_long_sleep(sleep: Sleep) -> None:
-    heard_at = clock.monotonic()
-    keys = KeyFreshness(Keys(fail_closed=True, unheard=5.0), lambda: heard_at)
+def test_keys_are_not_trusted_after_a_long_suspension(sleep: Sleep) -> None:
+    last_message_at = clock.monotonic()
+    keys = KeyFreshness(Keys(fail_closed=True, unheard=5.0), lambda: last_message_at)
     assert keys.is_fresh()
     sleep(10.0)
     assert not keys.is_fresh()
 
 
 @pytest.mark.parametrize("seconds", [3.0, 10.0])
-def test_runs_of_a_leader_that_was_not_heard_while_asleep_are_asked_after(
+def test_runs_of_a_leader_silent_during_a_suspension_are_checked(
     sleep: Sleep, seconds: float
 ) -> None:
-    lost = LostLeader(epoch=5, heard_at=clock.monotonic())
+    lost = LostLeader(epoch=5, last_message_at=clock.monotonic())
     sleep(seconds)
     choice = next_step(lost, 5, True, clock.monotonic())
     assert choice.step in (HoldStep.ASK, HoldStep.END)
 
 
-def test_an_engine_whose_entry_went_before_the_sleep_gets_nothing_after_it(sleep: Sleep) -> None:
+def test_an_engine_whose_entry_was_removed_before_a_suspension_gets_nothing_after_it(
+    sleep: Sleep,
+) -> None:
     engines = EngineDirectory()
     entry = EngineEntry("e", "app", Address("10.0.0.1", 1), "z", 4, EngineState.READY)
     engines.replace_entries([entry], clock.monotonic())
@@ -188,10 +190,10 @@
     assert SendGate(engines).check("e", clock.monotonic()) is not None
 
 
-def test_a_mirror_tells_nothing_after_a_sleep_until_it_has_heard_the_store(
+def test_a_mirror_answers_nothing_after_a_suspension_until_the_store_has_answered(
     tmp_path: Path, sleep: Sleep, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(mirrors, "FEWEST_FOLLOWERS", 0.5)
+    monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 0.5)
 
     async def test(system: System) -> None:
         await system.until_led()
--- a/src/pondtiller/gateway/tests/test_system.py
+++ b/src/pondtiller/gateway/tests/test_system.py
@@ -1,4 +1,4 @@
-"""The whole path over real sockets, and what happens when its parts misbehave."""
+"""The whole path over real sockets, and the effects of misbehaving parts."""
 
 from pathlib import Path
 
@@ -9,9 +9,9 @@
 from pondtiller.httpio.messages import HttpResponse
 from pondtiller.httpio.server import ConnectionLostError, Exchange
 from pondtiller.process import clock
-from pondtiller.routes.answer_times import FIRST_SECONDS
+from pondtiller.routes.answer_times import INITIAL_USUAL_SECONDS
 from pondtiller.standins.documents import configuration
-from pondtiller.steplog.instructions import StandDown
+from pondtiller.steplog.instructions import StepDownReason
 
 
 async def ready(system: System) -> None:
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("behaviour", [refuse, fail, cut, unsigned, of_another])
-def test_what_may_be_repeated_is_served_by_another_engine(tmp_path: Path, behaviour) -> None:
+def test_a_repeatable_request_is_served_by_another_engine(tmp_path: Path, behaviour) -> None:
     async def test(system: System) -> None:
         await ready(system)
         for engine in system.app:
@@ -95,9 +95,7 @@
 @pytest.mark.parametrize(
     ("behaviour", "status"), [(refuse, 503), (fail, 500), (cut, 502), (unsigned, 502)]
 )
-def test_what_must_not_be_repeated_runs_at_most_once(
-    tmp_path: Path, behaviour, status: int
-) -> None:
+def test_an_unrepeatable_request_runs_at_most_once(tmp_path: Path, behaviour, status: int) -> None:
     async def test(system: System) -> None:
         await ready(system)
         for engine in system.app:
@@ -253,7 +251,7 @@
     run_system(tmp_path, test)
 
 
-def test_a_broken_sample_goes_on_after_its_last_event(tmp_path: Path) -> None:
+def test_a_broken_sample_continues_after_its_last_event(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await ready(system)
         for engine in system.llm:
@@ -273,7 +271,7 @@
     run_system(tmp_path, test)
 
 
-def test_a_planned_stop_answers_what_it_has_and_says_so(tmp_path: Path) -> None:
+def test_a_planned_stop_answers_open_requests_and_rejects_new_ones(tmp_path: Path) -> None:
     async def slow(exchange: Exchange) -> None:
         await curio.sleep(1.0)
         identifier = exchange.request.headers["request-id"]
@@ -326,7 +324,7 @@
     run_system(tmp_path, test)
 
 
-def test_metrics_are_told_on_the_readiness_address(tmp_path: Path) -> None:
+def test_metrics_are_served_on_the_readiness_address(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await ready(system)
         await system.call("POST", "/quote/7", request_id="q1")
@@ -340,7 +338,7 @@
 
 
 def test_replicas_that_register_late_still_form_the_first_group(tmp_path: Path) -> None:
-    """A gateway that had listed only the first of them used to wait for the others for ever."""
+    """Guards against a gateway that listed only the first of them and waited forever."""
 
     async def test(system: System) -> None:
         await system.until(lambda: len(system.gateways[0].leadership.replicas.views()) == 1)
@@ -358,7 +356,7 @@
 
 
 async def answered_within(system: System, seconds: float, times: int) -> None:
-    """Ask some times, and see each answered in time."""
+    """Send some requests, and check that each is answered in time."""
     for number in range(times):
         began = clock.monotonic()
         answer = await system.call("POST", "/quote/7", b"x", request_id=f"q{number}")
@@ -376,7 +374,7 @@
     run_system(tmp_path, test)
 
 
-def test_what_must_not_be_repeated_is_not_hedged(tmp_path: Path) -> None:
+def test_an_unrepeatable_request_is_not_hedged(tmp_path: Path) -> None:
     async def slow(exchange: Exchange) -> None:
         await curio.sleep(0.5)
         headers = (("Request-Id", "q1"), ("Response-Signature", "s"))
@@ -394,10 +392,10 @@
 
 
 def test_full_engines_get_no_second_tries_and_no_more_scorers(tmp_path: Path) -> None:
-    """An early second try would come after the usual time, an overdue one after twice that."""
+    """An early hedge would come after the usual time, an overdue one after twice that."""
 
     async def slow(exchange: Exchange) -> None:
-        await curio.sleep(1.6 * FIRST_SECONDS)
+        await curio.sleep(1.6 * INITIAL_USUAL_SECONDS)
         identifier = exchange.request.headers["request-id"]
         headers = (("Request-Id", identifier), ("Response-Signature", "s"))
         await exchange.respond(HttpResponse(200, b"late", "", headers))
@@ -434,8 +432,8 @@
     run_system(tmp_path, test)
 
 
-def test_a_term_that_ends_gives_its_places_at_engines_back(tmp_path: Path) -> None:
-    """Incident 11: a daemon that led again took its own earlier runs for work of the engines."""
+def test_the_end_of_a_term_releases_its_slots_at_engines(tmp_path: Path) -> None:
+    """Guards against a former leader that counts its own earlier runs as the engines' work."""
 
     async def test(system: System) -> None:
         await ready(system)
@@ -445,7 +443,7 @@
         gateway = await system.until_led()
         engines = gateway.engines.engines.values()
         await system.until(lambda: sum(each.running for each in engines) > 0)
-        gateway.leadership.log._depose(StandDown.LEASE_ENDED, gateway.leadership.log.epoch)
+        gateway.leadership.log._step_down(StepDownReason.LEASE_ENDED, gateway.leadership.log.epoch)
         await gateway.leadership.flush()
         assert sum(each.running for each in engines) == 0
         for engine in system.llm:
--- a/src/pondtiller/gateway/tests/test_tenants.py
+++ b/src/pondtiller/gateway/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Keys of tenants: who is let in, what engines are told, and that keys stay where they came."""
+"""Tenants' keys: access, what engines are told, and that keys do not leave the gateway."""
 
 import json
 from pathlib import Path
@@ -76,7 +76,7 @@
     run_system(tmp_path, test, with_configuration=False)
 
 
-def test_a_key_in_a_broken_head_does_not_come_back_in_the_error(tmp_path: Path) -> None:
+def test_a_key_in_a_malformed_head_is_not_returned_in_the_error(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         put_tenants(system, 3, KEYS)
         await until_in_force(system, 3)
@@ -91,7 +91,7 @@
     run_system(tmp_path, test, with_configuration=False)
 
 
-def test_engines_are_told_the_keys_tenant_and_not_what_the_caller_claims(tmp_path: Path) -> None:
+def test_engines_get_the_keys_tenant_and_not_the_callers_claim(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         put_tenants(system, 3, KEYS)
         await until_in_force(system, 3)
@@ -106,7 +106,7 @@
     run_system(tmp_path, test, with_configuration=False)
 
 
-def test_on_public_rows_no_key_is_needed_and_nothing_of_one_goes_on(tmp_path: Path) -> None:
+def test_public_rows_need_no_key_and_forward_none(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         put_tenants(system, 3, KEYS)
         await until_in_force(system, 3)
@@ -134,7 +134,7 @@
         assert (await step_call(system, "GET", body, BOB)).status == 404
         assert (await step_call(system, "GET", body, ANN)).body == b"prompt"
         assert (await step_call(system, "GET", read, "nobody")).status == 401
-        # The same identifier is another step for another tenant, and says nothing of the first.
+        # The same identifier names another step for another tenant, and reveals nothing.
         assert await submit(system, "s", BOB) == 202
         assert (await step_call(system, "DELETE", end, BOB)).status == 200
 
@@ -156,7 +156,7 @@
     run_system(tmp_path, test, with_configuration=False)
 
 
-def test_a_revoked_key_is_refused_and_its_steps_go_on(tmp_path: Path) -> None:
+def test_a_revoked_key_is_rejected_and_its_steps_continue(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         put_tenants(system, 3, KEYS)
         await until_in_force(system, 3)
@@ -168,7 +168,7 @@
         assert refused.status == 401
         assert (await step_call(system, "GET", "/pondtiller/lots/s", ANN)).status == 401
         assert (await step_call(system, "GET", "/pondtiller/lots/s", ANN_OTHER)).status == 200
-        # An older version does not give the key back.
+        # An older version does not restore the key.
         put_tenants(system, 3, KEYS)
         await curio.sleep(0.3)
         again = await system.call("POST", "/quote/x", b"q", request_id="q2", credential=ANN)
@@ -178,7 +178,7 @@
 
 
 def test_no_key_leaves_the_gateway(tmp_path: Path) -> None:
-    """Engines, logs, metrics, the replicas' files and the store's own kinds hold no key."""
+    """Engines, logs, metrics, the replicas' files and the store's own kinds contain no key."""
 
     async def test(system: System) -> None:
         put_tenants(system, 3, KEYS)
@@ -216,13 +216,13 @@
 
 
 @pytest.mark.parametrize("fails_closed", [True, False])
-def test_while_nothing_is_heard_keys_are_refused_only_where_the_settings_say_so(
+def test_without_store_contact_keys_are_rejected_only_if_the_settings_say_so(
     tmp_path: Path, fails_closed: bool
 ) -> None:
     async def test(system: System) -> None:
         put_tenants(system, 3, KEYS)
         await until_in_force(system, 3)
-        # A quiet store is heard often enough.
+        # Without changes, the store still answers often enough.
         await curio.sleep(3.0)
         served = await system.call("POST", "/quote/x", b"q", request_id="q1", credential=ANN)
         assert served.status == 200
--- a/src/pondtiller/gateway/tests/test_term_start.py
+++ b/src/pondtiller/gateway/tests/test_term_start.py
@@ -1,4 +1,4 @@
-"""The first second of a term: what does not need earlier texts does not wait for them."""
+"""The first second of a term: tasks that need no earlier texts do not wait for them."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -25,7 +25,7 @@
 def test_engines_are_ordered_and_runners_found_while_texts_are_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Trainers behind wait for the newest weights: these load while texts are on their way."""
+    """Trainers wait for the newest weights, which are loaded while texts are being read."""
     read_texts_slowly(monkeypatch)
 
     async def test(system: System) -> None:
--- a/src/pondtiller/gateway/tests/test_tick_pacing.py
+++ b/src/pondtiller/gateway/tests/test_tick_pacing.py
@@ -1,10 +1,10 @@
 import pytest
 
-from pondtiller.gateway.leader.tick_pacing import LONGEST_GAP_SECONDS, TICK_SHARE, TickPacing
+from pondtiller.gateway.leader.tick_pacing import MAX_GAP_SECONDS, TICK_SHARE, TickPacing
 
 
 def share_of_ticks(tick_seconds: float, seconds: float = 10.0) -> float:
-    """Play ticks of one length while something happens at every moment."""
+    """Play ticks of one length while events happen all the time."""
     pacing = TickPacing()
     now, spent = 0.0, 0.0
     while now < seconds:
@@ -23,7 +23,7 @@
 def test_a_long_tick_is_followed_by_no_longer_gap_than_a_leader_waits_anyway() -> None:
     pacing = TickPacing()
     pacing.ticked(0.0, 2.0)
-    assert pacing.wait_seconds(2.0) == pytest.approx(LONGEST_GAP_SECONDS)
+    assert pacing.wait_seconds(2.0) == pytest.approx(MAX_GAP_SECONDS)
 
 
 def test_the_first_tick_and_one_after_a_rest_come_at_once() -> None:
--- a/src/pondtiller/gateway/tests/test_usage_duty.py
+++ b/src/pondtiller/gateway/tests/test_usage_duty.py
@@ -1,4 +1,4 @@
-"""Reports of use by a whole small system."""
+"""Usage reports of a small system."""
 
 import json
 from pathlib import Path
@@ -36,7 +36,7 @@
 def test_each_request_is_reported_once_whoever_served_it(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         await until_tenants(system)
-        # The first answer of one in two reports is lost, so they are sent again.
+        # The first answer of every second report is lost, so it is sent again.
         system.operator.next_statuses = [200, 0, 429, 200, 0]
         for number in range(12):
             await ask(system, number, ANN if number % 3 else BOB, number % 2)
@@ -61,7 +61,7 @@
     run_system(tmp_path, test, with_configuration=False, use_window=WINDOW)
 
 
-def test_a_successor_reports_what_a_leader_that_ended_was_told(tmp_path: Path) -> None:
+def test_a_successor_reports_the_counts_of_a_leader_that_ended(tmp_path: Path) -> None:
     async def test(system: System) -> None:
         leader = await until_tenants(system)
         other = next(each for each in system.gateways if each is not leader)
--- a/src/pondtiller/gateway/tests/test_watches.py
+++ b/src/pondtiller/gateway/tests/test_watches.py
@@ -1,4 +1,4 @@
-"""Watches: resumed after a loss, relisted after lost history, never fooled by silence."""
+"""Watches: resumed after a failure, listed again after lost history, robust against silence."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -19,11 +19,11 @@
 from pondtiller.store.store_watch import StoreHealth, Watch
 
 LOOKS = 30
-"""Looks at a result, 0.01 s apart: 0.3 s in which the process runs, however often it is paused."""
+"""Checks of a result, 0.01 s apart: 0.3 s of running time, however often the process is paused."""
 
 
 class ScriptedStore:
-    """Answers each watch as the next step of its script says."""
+    """Answers each watch with the next item of its script."""
 
     def __init__(self, script: list[object]) -> None:
         self.script = script
@@ -47,7 +47,7 @@
 
 
 class Recorder:
-    """Keeps what a watch tells."""
+    """Records what a watch reports."""
 
     def __init__(self) -> None:
         self.told: list[str] = []
@@ -91,13 +91,13 @@
     assert store.lists == 2
 
 
-def test_a_failed_watch_goes_on_from_the_same_place() -> None:
+def test_a_failed_watch_resumes_at_the_same_revision() -> None:
     store, recorder = play([StoreCallError("down"), "a"])
     assert recorder.told == ["listed1", "a"]
     assert store.asked[:2] == [100, 100]
 
 
-def test_a_watch_that_hangs_asks_anew_when_the_store_is_regained() -> None:
+def test_a_hanging_watch_calls_again_when_the_store_recovers() -> None:
     async def regained(health: StoreHealth) -> None:
         health.lost("other", StoreCallError("down"))
         await health.heard("other", 7)
@@ -107,8 +107,8 @@
     assert store.asked[:2] == [100, 100]
 
 
-def test_a_watch_that_hangs_asks_anew_when_another_is_told_that_history_is_gone() -> None:
-    """Incident 18: a call sent as the store forgot its history heard nothing for 6 s."""
+def test_a_hanging_watch_calls_again_when_another_one_learns_of_lost_history() -> None:
+    """A call sent while the store lost its history got no answer for 6 s."""
 
     async def main() -> list[int]:
         health = StoreHealth()
@@ -118,7 +118,7 @@
         for store in (hanging, other):
             watch = Watch(store, health, "kind", recorder.replace, recorder.change)
             tasks.append(await curio.spawn(watch.run))
-        # The hanging call ends in time only by what the other watch was told.
+        # The hanging call ends in time only because of what the other watch learned.
         looks = 0
         while "a" not in recorder.told and looks < LOOKS:
             looks += 1
@@ -132,13 +132,13 @@
 
 
 def test_a_store_that_refuses_at_once_is_not_asked_without_a_pause() -> None:
-    """Incident 3: a daemon spent its processor on a store that reset each connection."""
+    """Guards against a daemon that spent its processor on a store resetting each connection."""
     store, _ = play([StoreCallError("reset")] * 1000)
     assert len(store.asked) < 6
 
 
-class OwnTime:
-    """`curio` whose sleeps take no time but its own, up to an end."""
+class VirtualTime:
+    """`curio` with sleeps that only advance its own time, up to an end."""
 
     def __init__(self, end: float) -> None:
         self.seconds = 0.0
@@ -156,7 +156,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a call of each gateway for each change."""
-    own = OwnTime(0.65)
+    own = VirtualTime(0.65)
     monkeypatch.setattr(store_watch, "curio", own)
     store, recorder = ScriptedStore(["a", "b"] + ["c"] * 100), Recorder()
 
@@ -181,8 +181,8 @@
     assert len(store.asked) <= 6
 
 
-def test_a_watch_that_pauses_goes_on_once_another_is_answered() -> None:
-    """Two daemons' watches of one process fail; the pause of the second is cut short."""
+def test_a_pausing_watch_resumes_once_another_one_is_answered() -> None:
+    """The watches of two daemons fail in one process; the pause of the second is cut short."""
 
     async def main() -> float:
         health = StoreHealth()
--- a/src/pondtiller/gateway/tests/test_zone_loss.py
+++ b/src/pondtiller/gateway/tests/test_zone_loss.py
@@ -1,4 +1,4 @@
-"""A real group in four zones: a zone goes, the rest bears the next loss, steps go on."""
+"""A real group in four zones: after a zone loss it tolerates the next one, and steps continue."""
 
 from pathlib import Path
 
@@ -56,12 +56,12 @@
                 await each.stop()
 
     async def works(self, step: str) -> None:
-        """Have a step run and read to its end."""
+        """Have a step run and read it completely."""
         assert await self.submit(step) == 202
         await self.read_all(step, 4)
 
 
-def test_after_a_zone_is_lost_the_group_bears_the_next_one_as_far_as_replicas_are_left(
+def test_after_a_zone_loss_the_group_tolerates_the_next_one_as_far_as_replicas_are_left(
     tmp_path: Path,
 ) -> None:
     async def test(system: ZonedSystem) -> None:
@@ -77,7 +77,7 @@
         await system.lose(second)
         await system.until(lambda: second not in system.zones(), 8.0)
         assert system.zones().count("a") == 2
-        # The figure is of the last look; the next one comes within half a second.
+        # The figure is from the last check; the next one comes within half a second.
         await system.until(lambda: system.shortfall() == 1, 2.0)
         await system.works("three")
 
--- a/src/pondtiller/gateway/watches.py
+++ b/src/pondtiller/gateway/watches.py
@@ -1,8 +1,8 @@
-"""What every gateway follows in the store: the configuration and the engines.
+"""Store watches of every gateway: the configuration and the engines.
 
-Owns which entries of engines cannot be read. It writes the table in force and the directory of
-engines, and decides that a table is taken only if its version is higher than the one in force.
-The watching itself, with its retries, is in `store/store_watch.py`.
+Holds which engine entries cannot be parsed. Updates the table in force and the engine directory; a
+table is applied only if its version is higher than the one in force. The watch protocol, with its
+retries, is in `store/store_watch.py`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -17,38 +17,38 @@
 from pondtiller.routes.engines import EngineDirectory, EngineEntry
 from pondtiller.store.news_times import NewsTimes
 from pondtiller.store.store_watch import (
-    LONGEST_RETRY_SECONDS,
+    MAX_RETRY_SECONDS,
     StoreHealth,
     StoreReader,
     Watch,
 )
 
 ENGINES_REST_SECONDS = 1.2
-"""Pause between calls for changes of engines, of all gateways but the leader's, in seconds: the
-changes of this time are gathered into one call. Without it, asking at each change, 6,022 calls cost
-0.14 of the worth of the grown quiet day (design note 11). Longer, and requests meet engines that
-left or turned cold for longer."""
+"""Pause between calls for changes of engines, of all gateways but the leader's, so that one call
+returns all changes of this time. Without it, one call per change, 6,022 calls cost 0.14 of a quiet
+day's worth on a large deployment. With a longer pause, requests meet engines that have left or
+turned cold for longer."""
 MIRRORED_RETRY_SECONDS = 2.0
-"""Longest pause between calls to a store that does not answer, of a gateway that follows mirrors,
-in seconds: there are many of those, and mirrors may answer it meanwhile. Half of the time within
-which a gateway of such a deployment must reach the store again."""
-MOST_UNREAD = 1000
-"""Entries that are remembered as not readable, so that each is logged once a cause. Chosen, not
-measured: it bounds memory only; beyond it an entry is logged again at each change."""
+"""Longest pause between calls to a store that does not answer, for a gateway that follows mirrors.
+There are many of those, and mirrors may answer them meanwhile. Half of the time within which a
+gateway of such a deployment must reach the store again."""
+MAX_UNREAD = 1000
+"""Unreadable entries that are remembered, so that each is logged once per cause. Bounds memory
+only: beyond it an entry is logged again at each change."""
 
 
 class GatewayWatches:
-    """Follows the configuration and the engines.
+    """Watches the configuration and the engines.
 
     Parameters
     ----------
     configuration_times, engines_times
-        Waits by which changes of each are known within their bounds.
+        Waits with which changes of each are known within their bounds.
 
     Attributes
     ----------
     entries_unread
-        Entries of engines that could not be read, each counted once for each cause.
+        Engine entries that could not be parsed, each counted once per cause.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
             wait_seconds=configuration_times.wait_seconds,
             longest_retry=lambda: min(self.longest_retry(), configuration_times.retry_seconds),
         )
-        in_force.age_seconds = lambda: clock.monotonic() - self.configuration.heard_at
+        in_force.age_seconds = lambda: clock.monotonic() - self.configuration.last_answer_at
         self.engines = Watch(
             store,
             health,
@@ -95,7 +95,7 @@
         """Return the longest pause between calls to a store that does not answer, in seconds."""
         if self._follows_mirrors() and not self.is_leading():
             return MIRRORED_RETRY_SECONDS
-        return LONGEST_RETRY_SECONDS
+        return MAX_RETRY_SECONDS
 
     def _engines_rest(self) -> float:
         """Return the pause between calls: only a leader needs each load of weights at once."""
@@ -157,7 +157,7 @@
         await self._changed()
 
     def _read_entry(self, found: StoreObject) -> EngineEntry | None:
-        """Read an entry; one that cannot be read is logged once for each cause."""
+        """Parse an entry; one that cannot be parsed is logged once per cause."""
         entry = engine_entries.engine_entry(found.name, found.spec, found.revision)
         if entry is not None:
             self._unread.pop(found.name, None)
@@ -165,7 +165,7 @@
         reason = engine_entries.problem_of(found.spec)
         if self._unread.get(found.name) != reason:
             self.entries_unread += 1
-            if len(self._unread) < MOST_UNREAD:
+            if len(self._unread) < MAX_UNREAD:
                 self._unread[found.name] = reason
             logs.decision(
                 "entry_unreadable", engine=found.name, revision=found.revision, reason=reason
@@ -173,7 +173,7 @@
         return None
 
     def _log_entry(self, entry: EngineEntry, before: EngineEntry | None) -> None:
-        """Note a change; of each load of weights only the leader does, whose orders they are."""
+        """Log a change; loads of weights are logged by the leader only, which orders them."""
         is_load = before is not None and replace(before, models=entry.models) == entry
         if is_load and not self.is_leading():
             return
--- a/src/pondtiller/httpio/server.py
+++ b/src/pondtiller/httpio/server.py
@@ -47,7 +47,7 @@
 ACCEPT_PAUSE_SECONDS = 0.05
 """Pause before accepting again where the process has no file left, in seconds: it neither ends nor
 takes the loop for itself. Chosen, not measured."""
-CLOSE_LOOK_SECONDS = 1.0
+CLOSE_CHECK_SECONDS = 1.0
 """How often it is looked whether a caller has left that sent more than its request, in seconds: its
 connection stays readable, so waiting for it would take the loop. Chosen, not measured."""
 NOT_HTTP = "what was sent is no HTTP/1.1 request"
@@ -270,7 +270,7 @@
                 return
             if not peeked:
                 return
-            await curio.sleep(CLOSE_LOOK_SECONDS)
+            await curio.sleep(CLOSE_CHECK_SECONDS)
 
 
 def _check_announced_length(head: h11.Request) -> None:
--- a/src/pondtiller/links/frames.py
+++ b/src/pondtiller/links/frames.py
@@ -16,14 +16,14 @@
 
 HEAD_BYTES = 10
 """Of a frame: length 4, kind 2, call 4, each big-endian."""
-LARGEST_FRAME = 256 * 1024 * 1024
+MAX_FRAME = 256 * 1024 * 1024
 """Longest message, compressed or not, in bytes; a longer one ends the link. Chosen, not measured:
 far above the longest that is sent, all values of a log in a takeover (11 MB in incident 12)."""
 REPLY_FLAG = 0x8000
 """Bit of the kind that marks an answer; part of the protocol."""
 COMPRESSED_FLAG = 0x4000
 """Bit of the kind that marks a compressed message; part of the protocol."""
-SMALLEST_COMPRESSED = 512
+MIN_COMPRESSED = 512
 """Shortest message that is compressed, in bytes. Texts of random letters shrink to 0.66; shorter
 messages are mostly numbers, sent often, and gain little. The bound itself was chosen, not
 measured."""
@@ -84,7 +84,7 @@
     steplog.MirrorPage,
 )
 """What is sent again and again with the same content: read once, while it stays the same."""
-LONGEST_REPEATED_BYTES = 1024
+MAX_REPEATED_BYTES = 1024
 """Longest such message that is kept for comparison, in bytes: one a kind and link. Reading the
 views of five members anew took 1.27 s of 1.93 s busy time of a gateway at rest in 30 s. The bound
 itself was chosen, not measured: views are shorter, and long messages rarely come twice."""
@@ -113,7 +113,7 @@
 def encode_message(message: Message) -> Encoded:
     """Return a message as bytes, compressed where that makes it shorter."""
     kind, body = KIND_BY_TYPE[type(message)], bytes(message)
-    if len(body) >= SMALLEST_COMPRESSED and not isinstance(message, URGENT_TYPES):
+    if len(body) >= MIN_COMPRESSED and not isinstance(message, URGENT_TYPES):
         compressed = zlib.compress(body, COMPRESSION_LEVEL)
         if len(compressed) < len(body):
             return Encoded(kind | COMPRESSED_FLAG, compressed)
@@ -148,7 +148,7 @@
         self._buffer += data
         while len(self._buffer) >= HEAD_BYTES:
             length = int.from_bytes(self._buffer[:4], "big")
-            if length > LARGEST_FRAME:
+            if length > MAX_FRAME:
                 raise BadFrameError("a frame is too long")
             if len(self._buffer) < HEAD_BYTES + length:
                 return
@@ -164,7 +164,7 @@
             return known[1]
         number = kind & ~COMPRESSED_FLAG
         message = _parse(number, _decompress(body) if kind & COMPRESSED_FLAG else body)
-        if len(body) <= LONGEST_REPEATED_BYTES and isinstance(message, REPEATED_TYPES):
+        if len(body) <= MAX_REPEATED_BYTES and isinstance(message, REPEATED_TYPES):
             self._repeated[kind] = (body, message)
         return message
 
@@ -172,7 +172,7 @@
 def _decompress(body: bytes) -> bytes:
     unpacker = zlib.decompressobj()
     try:
-        found = unpacker.decompress(body, LARGEST_FRAME)
+        found = unpacker.decompress(body, MAX_FRAME)
     except zlib.error as error:
         raise BadFrameError(str(error)) from error
     if not unpacker.eof:
--- a/src/pondtiller/links/link.py
+++ b/src/pondtiller/links/link.py
@@ -32,7 +32,7 @@
 """40 ms between regions, 15 times that. The system repeats a lost beginning after 1 s, so a longer
 limit gains nothing; with the rest of 0.4 s before the next attempt at a replica, one that was cut
 off is reached within a second of the healing."""
-MOST_UNSENT_BYTES = 64 * 1024 * 1024
+MAX_UNSENT_BYTES = 64 * 1024 * 1024
 """Waiting bytes above which a link whose other side does not read is dropped. Chosen, not measured:
 several times the longest log seen in a takeover (11 MB, incident 12), and it bounds memory."""
 SEND_BYTES = 131_072
@@ -214,7 +214,7 @@
         if self._begin > COMPACT_BYTES or self._begin == len(self._unsent):
             del self._unsent[: self._begin]
             self._begin = 0
-        if len(self._unsent) > MOST_UNSENT_BYTES:
+        if len(self._unsent) > MAX_UNSENT_BYTES:
             self.is_lost = True
 
     async def _send_rest(self) -> None:
--- a/src/pondtiller/links/tests/test_frames.py
+++ b/src/pondtiller/links/tests/test_frames.py
@@ -7,7 +7,7 @@
 
 from pondtiller.links.frames import (
     COMPRESSED_FLAG,
-    SMALLEST_COMPRESSED,
+    MIN_COMPRESSED,
     BadFrameError,
     Encoded,
     FrameReader,
@@ -37,7 +37,7 @@
 
 def test_a_short_message_is_sent_as_it_is() -> None:
     message = SaveProgress(epoch=3)
-    assert len(bytes(message)) < SMALLEST_COMPRESSED
+    assert len(bytes(message)) < MIN_COMPRESSED
     assert encode_message(message).body == bytes(message)
 
 
--- a/src/pondtiller/peers/leader_client.py
+++ b/src/pondtiller/peers/leader_client.py
@@ -16,7 +16,7 @@
 from pondtiller.peers.replicas import LeaderPlace
 from pondtiller.peers.result_cache import ResultCache, page_size
 from pondtiller.process import clock, logs
-from pondtiller.rollouts.steps import LARGEST_PAGE_BYTES, StepStatus, result_size
+from pondtiller.rollouts.steps import MAX_PAGE_BYTES, StepStatus, result_size
 from pondtiller.wire.steplog import (
     AskShares,
     EndStep,
@@ -99,7 +99,7 @@
 
         What was read before is not asked for again, and is returned also without a leader.
         """
-        kept = self.cache.page(step, position, StepStatus.OK, LARGEST_PAGE_BYTES)
+        kept = self.cache.page(step, position, StepStatus.OK, MAX_PAGE_BYTES)
         if kept.results and self._is_enough(kept):
             return kept
         fresh = await self._read_leader(step, kept.next_position, 0.0 if kept.results else wait)
@@ -113,7 +113,7 @@
 
     def _is_enough(self, kept: ResultsPage) -> bool:
         """Return whether a page has all results, or as many as one page may have."""
-        return kept.next_position >= kept.total or page_size(kept) > LARGEST_PAGE_BYTES // 2
+        return kept.next_position >= kept.total or page_size(kept) > MAX_PAGE_BYTES // 2
 
     async def _read_leader(self, step: str, position: int, wait: float) -> ResultsPage:
         message = ReadResults(id=step, position=position, wait_milliseconds=int(wait * 1000))
@@ -198,7 +198,7 @@
     results = list(kept.results)
     for result in fresh.results:
         size += result_size(result)
-        if results and size > LARGEST_PAGE_BYTES:
+        if results and size > MAX_PAGE_BYTES:
             break
         results.append(result)
     return ResultsPage(
--- a/src/pondtiller/peers/replicas.py
+++ b/src/pondtiller/peers/replicas.py
@@ -50,7 +50,7 @@
 
     Attributes
     ----------
-    heard_at
+    last_message_at
         When it last said anything.
     retry_seconds
         Pause before the next try to connect.
@@ -60,13 +60,13 @@
     number: int
     link: Link | None = None
     view: ReplicaView | None = None
-    heard_at: float = 0.0
+    last_message_at: float = 0.0
     known_since: float = field(default_factory=clock.monotonic)
     retry_seconds: float = field(default_factory=lambda: FIRST_RETRY_SECONDS)
 
     def note_heard(self) -> None:
         """Take that bytes arrived: a long answer is no silence."""
-        self.heard_at = clock.monotonic()
+        self.last_message_at = clock.monotonic()
 
     async def pause(self) -> None:
         """Wait before the next try to connect, longer each time."""
@@ -126,7 +126,7 @@
         """Return whether to keep a link to a replica."""
         if self.keeps_all or not self.group.generation:
             return True
-        if clock.monotonic() > self.last_heard() + LONELY_SECONDS:
+        if clock.monotonic() > self.last_event_at() + LONELY_SECONDS:
             return True
         return place.address in self._member_addresses()
 
@@ -177,7 +177,7 @@
         return [
             place.view
             for place in self.places.values()
-            if place.link is not None and place.view is not None and place.heard_at >= since
+            if place.link is not None and place.view is not None and place.last_message_at >= since
         ]
 
     def link(self, number: int) -> Link | None:
@@ -195,9 +195,9 @@
             if place.link is not None and view is not None and view.replica.name in names:
                 await place.link.send(message)
 
-    def last_heard(self) -> float:
+    def last_event_at(self) -> float:
         """Return when any replica was last heard."""
-        return max((place.heard_at for place in self.places.values()), default=0.0)
+        return max((place.last_message_at for place in self.places.values()), default=0.0)
 
     def _member_addresses(self) -> list[Address]:
         return [Address(each.host, each.port) for each in self.group.members]
@@ -208,10 +208,12 @@
         found = (place.link for at, place in self.places.items() if at in members)
         return [link for link in found if link is not None]
 
-    def hears_quorum(self) -> bool:
+    def has_quorum_contact(self) -> bool:
         """Return whether most members of the group were heard lately."""
         since = clock.monotonic() - STALE_VIEW_SECONDS
-        heard = {at for at, place in self.places.items() if place.link and place.heard_at >= since}
+        heard = {
+            at for at, place in self.places.items() if place.link and place.last_message_at >= since
+        }
         members = self._member_addresses()
         return 2 * sum(each in heard for each in members) > len(members)
 
@@ -221,7 +223,7 @@
                 place.known_since = clock.monotonic()
                 await curio.sleep(RETRY_SECONDS)
                 continue
-            heard = max(place.heard_at, place.known_since)
+            heard = max(place.last_message_at, place.known_since)
             if place.link is None and clock.monotonic() > heard + FORGET_SECONDS:
                 self.places.pop(place.address, None)
                 return
@@ -241,7 +243,7 @@
         place.number = self._last_number
         place.link = link
         place.view = None
-        place.heard_at = clock.monotonic()
+        place.last_message_at = clock.monotonic()
         link.heard = place.note_heard
         watch = await curio.spawn(self._drop_silent, place, link, daemon=True)
 
@@ -268,9 +270,9 @@
         """
         silent_looks = 0
         while silent_looks < SILENT_LOOKS:
-            heard_at = place.heard_at
+            last_message_at = place.last_message_at
             await curio.sleep(SILENT_SECONDS / SILENT_LOOKS)
-            silent_looks = 0 if place.heard_at > heard_at else silent_looks + 1
+            silent_looks = 0 if place.last_message_at > last_message_at else silent_looks + 1
         await link.drop()
 
     async def _take(self, place: ReplicaLink, message: Message) -> None:
--- a/src/pondtiller/peers/result_cache.py
+++ b/src/pondtiller/peers/result_cache.py
@@ -10,7 +10,7 @@
 from pondtiller.rollouts.steps import result_size
 from pondtiller.wire.steplog import ResultsPage
 
-MOST_CACHED_BYTES = 6 * 1024 * 1024
+MAX_CACHED_BYTES = 6 * 1024 * 1024
 """Encoded results that a gateway keeps, in bytes: some thousand of 5 KB.
 
 Answers pages that were read six times over: 20.4 MB of 42 MB between zones on a quiet day, while
@@ -46,7 +46,7 @@
         Results that were returned without asking for them again.
     """
 
-    def __init__(self, most_bytes: int = MOST_CACHED_BYTES) -> None:
+    def __init__(self, most_bytes: int = MAX_CACHED_BYTES) -> None:
         self.steps: OrderedDict[str, CachedStep] = OrderedDict()
         self.size = 0
         self.hits = 0
--- a/src/pondtiller/peers/share_asker.py
+++ b/src/pondtiller/peers/share_asker.py
@@ -14,11 +14,11 @@
 from pondtiller.process import clock
 from pondtiller.wire.steplog import AskShares, SharesGranted
 
-LOOK_SECONDS = 0.05
+CHECK_SECONDS = 0.05
 """How often shares are looked at while there are any."""
 CALL_SECONDS = 0.5
 """Chosen, not measured: ten times a leader's answer from another region."""
-MOST_SUBJECTS = 200
+MAX_SUBJECTS = 200
 """In one message; the rest follows in the next. Chosen, not measured."""
 
 Ask = Callable[[AskShares, float], Awaitable[SharesGranted | None]]
@@ -103,12 +103,12 @@
                 await self._wake.wait()
             self._wake.clear()
             await self.look()
-            await curio.ignore_after(LOOK_SECONDS, self._wake.wait)
+            await curio.ignore_after(CHECK_SECONDS, self._wake.wait)
 
     async def look(self) -> None:
         """Ask for what is due; forget what is idle."""
         now = clock.monotonic()
-        due = [each for each in self._held.values() if each.is_due(now)][:MOST_SUBJECTS]
+        due = [each for each in self._held.values() if each.is_due(now)][:MAX_SUBJECTS]
         leader = self._find_leader()
         if due and leader is not None:
             await self._call(due, leader.epoch, now)
--- a/src/pondtiller/peers/usage_teller.py
+++ b/src/pondtiller/peers/usage_teller.py
@@ -15,7 +15,7 @@
 from pondtiller.usage.meter import UseMeter, pack_rows, window_of
 from pondtiller.wire.steplog import UseTaken, UseTold
 
-LOOK_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 """Between two looks whether there is something to send. Chosen, not measured: a fifth of
 `TELL_SECONDS`."""
 TELL_SECONDS = 0.5
@@ -64,7 +64,7 @@
     async def run(self) -> None:
         """Tell until cancelled."""
         while True:
-            await curio.sleep(LOOK_SECONDS)
+            await curio.sleep(CHECK_SECONDS)
             leader = self._find_leader()
             now = clock.monotonic()
             if leader is not None and self._should_tell(leader.epoch, now):
--- a/src/pondtiller/platform/configuration.py
+++ b/src/pondtiller/platform/configuration.py
@@ -33,7 +33,7 @@
 """Of a row that gives none, the same: until the results of a step are due."""
 QUEUE_SECONDS = 120.0
 """Of a row that gives none, the same: after which a sample may be given up. In s, not in ms."""
-MOST_CONNECTIONS = 100
+MAX_CONNECTIONS = 100
 """Of a service that gives none, the same: connections that one engine accepts."""
 HEAD_BYTES = 32_768
 """Of a configuration that gives none, the same: longest head of a request, in bytes."""
@@ -143,7 +143,7 @@
     return ServiceRow(
         name=given["name"],
         health_path=given.get("health_path") or "",
-        most_connections=int(given.get("max_conns") or MOST_CONNECTIONS),
+        most_connections=int(given.get("max_conns") or MAX_CONNECTIONS),
         models=tuple(each["name"] for each in engine.get("models") or ()),
         cold_seconds=float(given.get("cold_start_s") or 0.0),
         cold_rate=float(given.get("cold_per_s") or 0.0),
--- a/src/pondtiller/platform/mirror.py
+++ b/src/pondtiller/platform/mirror.py
@@ -20,7 +20,7 @@
 )
 from pondtiller.wire.steplog import MirrorPage
 
-MOST_CHANGES = 512
+MAX_CHANGES = 512
 """Changes that are kept for readers that come later; readers from before them list the kind anew.
 Chosen, not measured."""
 
@@ -76,7 +76,7 @@
             else:
                 self.objects[each.object.name] = each.object
             self.changes.append(MirroredChange(at, each))
-        while len(self.changes) > MOST_CHANGES:
+        while len(self.changes) > MAX_CHANGES:
             self.oldest = self.changes.popleft().at
         self.at = max(self.at, at)
 
--- a/src/pondtiller/platform/object_client.py
+++ b/src/pondtiller/platform/object_client.py
@@ -25,10 +25,10 @@
 WATCH_MARGIN_SECONDS = 0.4
 """How much longer than its own wait a watch may take, in seconds, for the way of its answer: twice
 that of a slow store."""
-LONGEST_REST_SECONDS = 1.5
+MAX_REST_SECONDS = 1.5
 """How long a connection to the store may rest and be used again: longer than a gateway rests
 between two calls for engines, and less than mirrors are asked before the store is."""
-MOST_UNREAD = 200
+MAX_UNREAD = 200
 """Objects that cannot be read and are logged by name, in the life of a process: it bounds memory
 and log lines. Chosen, not measured; the count goes on beyond it."""
 
@@ -227,7 +227,7 @@
             return found
         self.unread += 1
         name = _name(given)
-        if (kind, name) not in self._unread and len(self._unread) < MOST_UNREAD:
+        if (kind, name) not in self._unread and len(self._unread) < MAX_UNREAD:
             self._unread.add((kind, name))
             logs.decision("object_unreadable", kind=kind, name=name)
         return None
--- a/src/pondtiller/platform/tests/test_mirror.py
+++ b/src/pondtiller/platform/tests/test_mirror.py
@@ -1,7 +1,7 @@
 """A mirror tells what the store told, under the store's revisions, and never an older state."""
 
 from pondtiller.platform.mirror import (
-    MOST_CHANGES,
+    MAX_CHANGES,
     MirroredKind,
     MirrorStatus,
     read_changes,
@@ -52,8 +52,8 @@
     kind = MirroredKind()
     kind.replace([], 10)
     assert kind.since(9).status == MirrorStatus.HISTORY_GONE
-    for number in range(MOST_CHANGES + 5):
+    for number in range(MAX_CHANGES + 5):
         kind.change([put(f"e{number}", 11 + number)], 11 + number)
     assert kind.since(12).status == MirrorStatus.HISTORY_GONE
-    assert len(told(kind.since(kind.oldest))) == MOST_CHANGES
-    assert len(read_listing(kind.listing()).objects) == MOST_CHANGES + 5
+    assert len(told(kind.since(kind.oldest))) == MAX_CHANGES
+    assert len(read_listing(kind.listing()).objects) == MAX_CHANGES + 5
--- a/src/pondtiller/process/logs.py
+++ b/src/pondtiller/process/logs.py
@@ -56,14 +56,14 @@
     return '"' + escaped.replace("\n", "\\n").replace("\r", "\\r") + '"'
 
 
-LINES_A_SECOND = 200
+LINES_PER_SECOND = 200
 """Lines of one event that are written a second; the rest are counted (`lines_left_out`). Chosen,
 not measured: a line costs 27 us of a core, so one event takes half a per cent of it at most."""
-MOST_UNWRITTEN_BYTES = 262_144
+MAX_UNWRITTEN_BYTES = 262_144
 """What may wait for a reader that takes nothing; further lines are left out and counted. Chosen,
 not measured: some thousand lines, and a bound on a process's memory."""
 WINDOW_SECONDS = 1.0
-"""Over which lines are counted for `LINES_A_SECOND`."""
+"""Over which lines are counted for `LINES_PER_SECOND`."""
 
 
 class BoundedHandler(logbook.Handler):  # type: ignore[misc]
@@ -91,7 +91,7 @@
         event = record.message.partition(" ")[0]
         count = self._lines.get(event, 0) + 1
         self._lines[event] = count
-        if count > LINES_A_SECOND or len(self._unwritten) > MOST_UNWRITTEN_BYTES:
+        if count > LINES_PER_SECOND or len(self._unwritten) > MAX_UNWRITTEN_BYTES:
             self.left_out += 1
             self._left_out_in_window += 1
             return
--- a/src/pondtiller/process/stalls.py
+++ b/src/pondtiller/process/stalls.py
@@ -14,7 +14,7 @@
 from pondtiller.process import clock
 from pondtiller.process.spawner import Spawner
 
-LOOK_SECONDS = 0.05
+CHECK_SECONDS = 0.05
 """Between two looks, in seconds: of a standstill up to so much is not seen. Chosen, not measured:
 the usual time between two events of a stream, so an event that came late by it counts as one."""
 LATE_SECONDS = 0.05
@@ -24,7 +24,7 @@
 """From a standstill's end until what came in it counts as read, in seconds. With 0.05 s, 4 of 16
 runs of a test failed on a machine at three times its load: the loop that had stood still was slow
 to read, too. Less than the 0.4 s for which two engines may work on a sample."""
-MOST_SETTLE_SECONDS = 0.4
+MAX_SETTLE_SECONDS = 0.4
 """Longest wait for that, in seconds: on a machine so slow that each look is late nobody would ever
 be called silent. Chosen, not measured: twice `SETTLE_SECONDS`, the bound on two engines' work."""
 
@@ -50,7 +50,7 @@
         if self._is_late(now):
             self._last_end = now
         self._seconds = self.until(now)
-        self.due = now + LOOK_SECONDS
+        self.due = now + CHECK_SECONDS
 
     def ended(self, now: float) -> None:
         """Take that nobody looks any more."""
@@ -159,13 +159,13 @@
             raise errors[0]
         return outcomes[0] if outcomes else None
 
-    async def read_first(self, most_seconds: float = MOST_SETTLE_SECONDS) -> None:
+    async def read_first(self, most_seconds: float = MAX_SETTLE_SECONDS) -> None:
         """Let what waits in sockets be read where the process stood still until just now.
 
         A pause in the wait may use it up before anything was read; then there is a second one.
         """
-        late_seconds = await self._settle(min(most_seconds, MOST_SETTLE_SECONDS))
-        if late_seconds >= MOST_SETTLE_SECONDS:
+        late_seconds = await self._settle(min(most_seconds, MAX_SETTLE_SECONDS))
+        if late_seconds >= MAX_SETTLE_SECONDS:
             await self._settle(min(most_seconds, SETTLE_SECONDS))
 
     async def _settle(self, most_seconds: float) -> float:
@@ -190,7 +190,7 @@
     async def _look(self) -> None:
         try:
             while self._users or self._is_needed():
-                await curio.sleep(LOOK_SECONDS)
+                await curio.sleep(CHECK_SECONDS)
                 self._clock.looked(clock.monotonic())
         finally:
             self._clock.ended(clock.monotonic())
--- a/src/pondtiller/process/tests/test_logs.py
+++ b/src/pondtiller/process/tests/test_logs.py
@@ -29,13 +29,13 @@
     reader, writer = pipe()
     handler = logs.BoundedHandler(writer, "info")
     with handler:
-        for _ in range(logs.LINES_A_SECOND * 3):
+        for _ in range(logs.LINES_PER_SECOND * 3):
             logs.decision("often")
         logs.decision("seldom")
     text = os.read(reader, 1 << 20).decode()
-    assert text.count("event=often") == logs.LINES_A_SECOND
+    assert text.count("event=often") == logs.LINES_PER_SECOND
     assert text.count("event=seldom") == 1
-    assert handler.left_out == logs.LINES_A_SECOND * 2
+    assert handler.left_out == logs.LINES_PER_SECOND * 2
 
 
 def test_a_reader_that_does_not_read_never_blocks() -> None:
--- a/src/pondtiller/replica/file.py
+++ b/src/pondtiller/replica/file.py
@@ -16,7 +16,7 @@
 
 FILE_NAME = "steps.log"
 NEW_NAME = "steps.log.new"
-SMALLEST_REWRITE_BYTES = 16 * 1024 * 1024
+MIN_REWRITE_BYTES = 16 * 1024 * 1024
 """A file is not rewritten before it has grown to this. Chosen, not measured: reading 16 MB to 26 MB
 at a start takes a replica about 220 ms, and each rewrite holds up its answers."""
 REWRITE_FACTOR = 3
@@ -82,7 +82,7 @@
 
     def should_rewrite(self) -> bool:
         """Return whether much of the file is out of date."""
-        limit = max(SMALLEST_REWRITE_BYTES, REWRITE_FACTOR * self._size_after_rewrite)
+        limit = max(MIN_REWRITE_BYTES, REWRITE_FACTOR * self._size_after_rewrite)
         return self.size > limit
 
     def rewrite(self, replica: Replica, texts: KeptTexts) -> None:
--- a/src/pondtiller/replica/process.py
+++ b/src/pondtiller/replica/process.py
@@ -16,7 +16,7 @@
 from pondtiller.links.link import serve_links
 from pondtiller.platform import names, objects
 from pondtiller.platform.object_client import (
-    LONGEST_REST_SECONDS,
+    MAX_REST_SECONDS,
     ObjectClient,
     PutOutcome,
     StoreCallError,
@@ -47,7 +47,7 @@
         self._listener = bind_tcp(place.host, place.port)
         self.texts = KeptTexts()
         self.replica = self._restore()
-        self.store = ObjectClient(to_address(settings.store), HttpClient(LONGEST_REST_SECONDS))
+        self.store = ObjectClient(to_address(settings.store), HttpClient(MAX_REST_SECONDS))
         further = {names.SUSPECTS: MIRROR_TIMES}
         if settings.evacuation.within:
             further[names.EVACUATIONS] = MIRROR_TIMES
--- a/src/pondtiller/rollouts/__init__.py
+++ b/src/pondtiller/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader decides: steps and their results, samples on engines, versions of weights."""
+"""Decisions of the leader: steps and their results, samples on engines, versions of weights."""
--- a/src/pondtiller/rollouts/candidates.py
+++ b/src/pondtiller/rollouts/candidates.py
@@ -1,11 +1,12 @@
-"""Engines that a sample may go to, the best few of them looked at closely. No I/O.
+"""Engines that a sample may go to, of which only the best few are compared closely. No I/O.
 
-What an engine costs depends on the sample as well: whether its group is there, and how long it is.
-Looking at each engine for each sample costs samples times engines: 0.58 s of a core for 288 samples
-on 3,000 engines (`tools/bench_leader.py`), longer than a lease bears. So the engines are put in
-order once a tick by what they cost any sample, and only the first are compared for each one.
+The cost of an engine also depends on the sample: whether its group runs there, and its length.
+Comparing every engine for every sample took 0.58 s of a core for 288 samples on 3,000 engines
+(`tools/bench_leader.py`), which is too long for a leader that must renew its lease. The engines are
+therefore ranked once a tick by their cost for any sample, and only the first ones are compared for
+each sample.
 
-Owns the order for one tick and one kind of sample. What an engine costs is said by `place_cost.py`.
+Holds the ranking for one tick and one kind of sample. The cost is defined in `slot_cost.py`.
 """
 
 from bisect import insort
@@ -15,12 +16,12 @@
 from pondtiller.routes.engines import Engine
 
 COMPARED_ENGINES = 40
-"""Engines that are compared for each sample. Up to so many all are; of more, one that is further
-behind is emptier or faster than none of these."""
+"""Engines that are compared for each sample. If there are more, the rest is neither emptier nor
+faster than any of these."""
 
 
 class RankedEngine(NamedTuple):
-    """An engine with what it costs any sample; the identifier decides between equals."""
+    """An engine with its cost for any sample; the identifier breaks ties."""
 
     cost: float
     identifier: str
@@ -28,17 +29,17 @@
 
 
 class Candidates:
-    """The engines that may take one kind of sample during one tick.
+    """Engines that may take one kind of sample during one tick.
 
     Parameters
     ----------
     base_cost
-        Returns what an engine costs any sample as it is filled now.
+        Returns the cost of an engine for any sample at its current load.
 
     Attributes
     ----------
     compared
-        Those that are compared for each sample, by identifier; the others are no better.
+        Engines that are compared for each sample, by identifier; the others are not better.
     """
 
     def __init__(self, engines: Iterable[Engine], base_cost: Callable[[Engine], float]) -> None:
@@ -52,11 +53,11 @@
 
     @property
     def compares_all(self) -> bool:
-        """Whether there is no engine besides those that are compared."""
+        """Whether there are no engines besides the compared ones."""
         return not self._waiting
 
-    def filled(self, engine: Engine, is_full: bool) -> None:
-        """Take that an engine got a sample: one that is better now takes its turn."""
+    def note_start(self, engine: Engine, is_full: bool) -> None:
+        """Record that an engine got a sample, and replace it if another one is better now."""
         if engine.identifier not in self.compared:
             return
         if is_full:
--- a/src/pondtiller/rollouts/cold_starts.py
+++ b/src/pondtiller/rollouts/cold_starts.py
@@ -1,8 +1,8 @@
-"""How many samples may be ordered at a cold engine now. No I/O.
+"""Number of samples that may be started at a cold engine now. No I/O.
 
-Owns the starts of the last second at each cold engine, for one term of a leader. What a cold engine
-gets is bounded by the shares of those who send (`gateway/engines/cold_sends.py`); this only keeps
-samples from being ordered in vain.
+Holds the starts of the last second at each cold engine, for one term of a leader. The senders'
+shares limit what a cold engine gets (`gateway/engines/cold_sends.py`); this module only avoids
+starts that would be refused.
 """
 
 import math
@@ -18,13 +18,13 @@
     Parameters
     ----------
     cold
-        Which engines are cold; None where none ever is.
+        Which engines are cold; None if none ever is.
 
     Attributes
     ----------
     not_before
-        Before this time no sample is ordered at a cold engine, in seconds of the steady clock: no
-        runner can hold a share of it.
+        Before this monotonic time no sample is started at a cold engine, since no runner can hold a
+        share of its rate.
     """
 
     def __init__(self, cold: ColdEngines | None) -> None:
@@ -33,7 +33,7 @@
         self._starts: dict[str, SlidingCount] = {}
 
     def began(self, engine: Engine, now: float) -> None:
-        """Count a start; an engine that is cold no more is forgotten."""
+        """Count a start; an engine that is no longer cold is forgotten."""
         if self._cold is None:
             return
         if self._cold.is_cold(engine, now):
@@ -42,7 +42,7 @@
             self._starts.pop(engine.identifier, None)
 
     def left(self, engine: Engine, now: float) -> float:
-        """Return how many samples may start at an engine now; a cold one takes few in a second."""
+        """Return how many samples may start at an engine now; a cold one takes few a second."""
         if self._cold is None or not self._cold.is_cold(engine, now):
             return math.inf
         terms = self._cold.terms(engine.identifier)
--- a/src/pondtiller/rollouts/engine_need.py
+++ b/src/pondtiller/rollouts/engine_need.py
@@ -1,9 +1,9 @@
-"""How many engines' worth of places the open steps of a service need. No I/O.
+"""Number of engine slots that the open steps of a service need. No I/O.
 
-Trainers ask for a step every few seconds, so what is open swings from nothing to a whole step and
-back. The need is therefore the highest of the last moments, not that of one moment.
+Trainers submit a step every few seconds, so the open work alternates between nothing and a whole
+step. The need is therefore the peak of the last seconds.
 
-Owns the pace of work and the last moments of one service, for one term of a leader. Does not order
+Holds the pace of work and the recent needs of one service, for one term of a leader. Does not order
 engines: `scaling.py` decides how many from this.
 """
 
@@ -15,34 +15,34 @@
 from pondtiller.rollouts.sample_work import SampleWork, Stage
 
 TARGET_SHARE = 0.6
-"""Part of a step's time until due within which its samples are to be made: 4.5 s of 7.5 s. The rest
-is for the longest samples, for the scorer, and for what has to be made again. With 0.4, 29 engines
-were ordered where 18 made every step of a day in time (design note 22)."""
-SHORTEST_SECONDS = 1.0
-"""A step that is late counts as if so much time were left: it asks for more, not for everything."""
+"""Part of a step's time until due in which its samples should be made: 4.5 s of 7.5 s. The rest is
+for the longest samples, for the scorer, and for retries. With 0.4, 29 engines were ordered where 18
+made every step in time."""
+MIN_SECONDS = 1.0
+"""Lower bound of the remaining time of a late step, so that it does not demand every engine."""
 PEAK_SECONDS = 10.0
-"""How long a peak counts: two steps of a trainer that comes every 4 s, and a late one."""
-LEAST_RUNS = 30
-"""Whole runs that must have been seen before the pace is believed: lengths have a heavy tail."""
-PACE_RUNS = 300
-"""Whole runs after which what was seen before them weighs half."""
+"""How long a peak counts: two steps of a trainer with one every 4 s, and a late one."""
+MIN_RUNS = 30
+"""Complete runs needed before the pace is used, since lengths have a heavy tail."""
+PACE_HALVING_RUNS = 300
+"""Complete runs after which the weight of the earlier ones is halved."""
 
 
-LEAST_LEFT_SHARE = 0.1
-"""Part of a sample that counts as still to be made while its run goes on, however long it took.
-Chosen, not measured: a run that takes longer than expected still has its place."""
+MIN_LEFT_SHARE = 0.1
+"""Part of a sample that counts as remaining while its run continues, however long it has taken: a
+run that takes longer than expected still occupies its slot."""
 
 
 @dataclass
-class PaceOfWork:
-    """Place-seconds that an expected token costs, as whole runs tell it.
+class WorkPace:
+    """Slot-seconds per expected token, from complete runs.
 
     Attributes
     ----------
     seconds, tokens
-        Sums over the runs seen, older ones weighing less.
+        Sums over the observed runs, with decreasing weights.
     runs
-        Whole runs seen.
+        Complete runs observed.
     """
 
     seconds: float = 0.0
@@ -50,9 +50,9 @@
     runs: int = 0
 
     def note_run(self, tokens: float, seconds: float) -> None:
-        """Take a run that made a sample from its first event to its last."""
+        """Record a run that made a sample from its first event to its last."""
         self.runs += 1
-        if self.runs % PACE_RUNS == 0:
+        if self.runs % PACE_HALVING_RUNS == 0:
             self.seconds /= 2
             self.tokens /= 2
         self.seconds += seconds
@@ -60,30 +60,30 @@
 
     @property
     def seconds_per_token(self) -> float | None:
-        """Return the pace; None while too few runs were seen."""
-        if self.runs < LEAST_RUNS or not self.tokens:
+        """Pace of work; None while too few runs were observed."""
+        if self.runs < MIN_RUNS or not self.tokens:
             return None
         return self.seconds / self.tokens
 
 
-class NeedLook(NamedTuple):
-    """Places that were needed at a moment, in seconds of the steady clock."""
+class NeedSample(NamedTuple):
+    """Slots needed at a monotonic time."""
 
     at: float
-    places: float
+    slots: float
 
 
 class StepNeed(NamedTuple):
-    """What a step's samples still need.
+    """Remaining need of a step's samples.
 
     Attributes
     ----------
     samples
-        Samples that are not whole.
+        Samples that are not complete.
     seconds
-        Place-seconds that make them.
+        Slot-seconds to complete them.
     due
-        When they are to be made, in seconds of the time of day.
+        When they should be complete, in wall-clock time.
     """
 
     samples: int
@@ -96,42 +96,42 @@
 
 @dataclass
 class EngineNeed:
-    """What one service needs, as a peak of the last `PEAK_SECONDS`.
+    """Need of one service, as the peak of the last `PEAK_SECONDS`.
 
     Attributes
     ----------
     since
-        When the first look with a known pace was taken; None before.
+        Time of the first look with a known pace; None before.
     """
 
-    pace: PaceOfWork = field(default_factory=PaceOfWork)
+    pace: WorkPace = field(default_factory=WorkPace)
     since: float | None = None
-    _looks: deque[NeedLook] = field(default_factory=deque)
+    _samples: deque[NeedSample] = field(default_factory=deque)
 
-    def look(self, works: Iterable[SampleWork], now: float, wall_now: float) -> None:
-        """Take what is open now."""
+    def update(self, works: Iterable[SampleWork], now: float, wall_now: float) -> None:
+        """Record the current need."""
         per_token = self.pace.seconds_per_token
         if per_token is None:
             return
         if self.since is None:
             self.since = now
-        self._looks.append(NeedLook(now, places_needed(works, per_token, now, wall_now)))
-        while self._looks[0].at < now - PEAK_SECONDS:
-            self._looks.popleft()
+        self._samples.append(NeedSample(now, slots_needed(works, per_token, now, wall_now)))
+        while self._samples[0].at < now - PEAK_SECONDS:
+            self._samples.popleft()
 
-    def peak_places(self, now: float) -> float | None:
-        """Return places at engines that were needed at most; None until a peak was seen whole."""
+    def peak_slots(self, now: float) -> float | None:
+        """Return the peak number of slots; None until a whole period was observed."""
         if self.since is None or now < self.since + PEAK_SECONDS:
             return None
-        return max((look.places for look in self._looks), default=0.0)
+        return max((look.slots for look in self._samples), default=0.0)
 
 
-def places_needed(
+def slots_needed(
     works: Iterable[SampleWork], seconds_per_token: float, now: float, wall_now: float
 ) -> float:
-    """Return how many places make all open samples in the time that their steps have left.
+    """Return how many slots complete all open samples in the time left to their steps.
 
-    Never more than one place a sample: a sample cannot be made at two places at once.
+    At most one slot per sample: a sample cannot be made in two slots at once.
     """
     wanted: dict[str, StepNeed] = {}
     for work in works:
@@ -139,11 +139,11 @@
             continue
         left = work.cost * seconds_per_token
         if work.stage is Stage.RUNNING:
-            left = max(left - (now - work.run_started), LEAST_LEFT_SHARE * left)
+            left = max(left - (now - work.run_started), MIN_LEFT_SHARE * left)
         due = work.accepted_at + TARGET_SHARE * work.route.step_seconds
         before = wanted.get(work.step_id, NOTHING_NEEDED)
         wanted[work.step_id] = StepNeed(before.samples + 1, before.seconds + left, due)
     return sum(
-        min(need.samples, need.seconds / max(need.due - wall_now, SHORTEST_SECONDS))
+        min(need.samples, need.seconds / max(need.due - wall_now, MIN_SECONDS))
         for need in wanted.values()
     )
--- a/src/pondtiller/rollouts/giving_up.py
+++ b/src/pondtiller/rollouts/giving_up.py
@@ -1,54 +1,54 @@
-"""When a sample is given up: listed as failed, not made again. No I/O.
+"""When a sample is given up, that is listed as failed and not made again. No I/O.
 
-Owns nothing. What a run or a scorer could not say ("refused", "broken", "lost") counts for nothing:
-only answers that say failed do, and the time that the row allows.
+Stateless. Outcomes that say nothing about the sample ("refused", "broken", "lost") do not count:
+only answers that report a failure do, and the row's time limit.
 """
 
 from pondtiller.rollouts.sample_work import GiveUpReason, RunEnd, ScoreEnd
 
 QUEUE_MARGIN_SECONDS = 3.0
-"""For how long, in seconds, a sample is made beyond its row's `queue_seconds`. Chosen, not
-measured: bounds the work on steps that no trainer waits for; a run that is nearly whole by then
-still counts, and one given up too early could not be had back."""
+"""How long, in seconds, a sample is still made beyond its row's `queue_seconds`. Bounds the work on
+steps that no trainer waits for; a run that is nearly complete by then still counts, and a sample
+that is given up cannot be recovered."""
 
 
 def late_at(accepted_at: float, queue_seconds: float) -> float:
-    """Return after which time of day an open sample is given up as `LATE`, in seconds.
+    """Return the wall-clock time in seconds after which an open sample is given up as `LATE`.
 
-    Worked out once a sample and row: each tick compares it for all open samples.
+    Computed once per sample and row, since each tick compares it for all open samples.
 
     Parameters
     ----------
     accepted_at
-        Of its step, in seconds of the time of day.
+        Acceptance of its step, in wall-clock seconds.
     queue_seconds
-        Of its row.
+        Setting of its row.
     """
     return accepted_at + queue_seconds + QUEUE_MARGIN_SECONDS
 
 
-def why_after_run(end: RunEnd, attempts_failed: int, attempts: int) -> GiveUpReason | None:
-    """Return why a sample is given up after a run that did not make it whole.
+def reason_after_run(end: RunEnd, attempts_failed: int, attempts: int) -> GiveUpReason | None:
+    """Return why a sample is given up after a run that did not complete it, or None.
 
     Parameters
     ----------
     attempts_failed
-        Runs of it that an engine answered with "failed", this one among them.
+        Runs of it that an engine answered with "failed", including this one.
     attempts
-        Of its row.
+        Limit of its row.
     """
     if end is RunEnd.IMPOSSIBLE:
         return GiveUpReason.IMPOSSIBLE
     return GiveUpReason.RUNS_FAILED if attempts_failed >= attempts else None
 
 
-def why_after_scoring(end: ScoreEnd, failures: int, attempts: int) -> GiveUpReason | None:
-    """Return why a sample is given up after its scorer did not score it.
+def reason_after_scoring(end: ScoreEnd, failures: int, attempts: int) -> GiveUpReason | None:
+    """Return why a sample is given up after its scorer did not score it, or None.
 
     Parameters
     ----------
     failures
-        Answers of its scorer that say failed, this one among them.
+        Answers of its scorer that report a failure, including this one.
     attempts
         Failures that the scorer's row allows.
     """
--- a/src/pondtiller/rollouts/group_runs.py
+++ b/src/pondtiller/rollouts/group_runs.py
@@ -1,6 +1,6 @@
-"""Which engines run samples of a group, and how many. No I/O.
+"""Number of runs of each sample group at each engine. No I/O.
 
-Owns the counts, for one term of a leader. What nobody counts any more is forgotten.
+Holds the counts for one term of a leader; entries without runs are removed.
 """
 
 from collections import Counter
@@ -29,5 +29,5 @@
             del self._engines_of[group]
 
     def engines_of(self, group: str) -> Collection[str]:
-        """Return the engines that run samples of a group, in the order in which they began."""
+        """Return the engines that run samples of a group, in the order in which they started."""
         return self._engines_of.get(group, ())
--- a/src/pondtiller/rollouts/load_shares.py
+++ b/src/pondtiller/rollouts/load_shares.py
@@ -1,28 +1,28 @@
-"""How many engines load each new version, where several models share the engines.
+"""How many engines load each new version when several models share the engines.
 
-A load takes an engine's time and has a price. A step may use the version before as well, so
-where the engines that load take turns, twice as many can serve: those with the newest version
-and those with the one before.
+A load takes an engine's time and has a price. A step may also use the previous version, so if the
+loading engines alternate, twice as many can serve: those with the newest version and those with the
+previous one.
 
-Where there are more engines than a model's steps fill, a version goes to as many as they need.
-Answers the load of a large fleet with small steps: with 301 engines and steps of 96 samples a day
-took 1,108 orders, 0.364 of worth, and a leader's connection to each engine.
+If there are more engines than a model's steps fill, a version goes only to as many as they need.
+Otherwise a large fleet with small steps is overloaded by orders: with 301 engines and steps of 96
+samples, 1,108 orders a day cost 0.364 of its worth and a leader's connection to each engine.
 
-Owns nothing. Does not say which engines these are (`load_choice.py`).
+Stateless. Does not decide which engines these are (`load_choice.py`).
 """
 
 import math
 
 SPARE_ENGINES = 1.5
-"""Engines that have a version, against those that a step's samples fill: some are lost or slow
-while they serve, and one in three may be before samples wait."""
+"""Engines that get a version, as a multiple of those that a step's samples fill. Some are lost or
+slow while they serve, and one in three may be before samples wait."""
 
 
 def load_shares(engines: int, demand: dict[str, float]) -> dict[str, int]:
     """Return how many of `engines` load each model's next version.
 
-    Every model gets one; the others go by demand. A single model gets them all. Without a
-    model there is nothing to share, as when the engines' entries have all lapsed.
+    Every model gets one; the rest is distributed by demand. A single model gets all of them.
+    Without models, for example when all engine entries have lapsed, the result is empty.
     """
     if not demand:
         return {}
@@ -36,7 +36,7 @@
 
 
 def engines_needed(samples: float, slots: float) -> int:
-    """Return how many engines a step of so many samples needs, with a part to spare.
+    """Return how many engines a step of so many samples needs, including spare ones.
 
     Parameters
     ----------
--- a/src/pondtiller/rollouts/model_fleet.py
+++ b/src/pondtiller/rollouts/model_fleet.py
@@ -1,7 +1,7 @@
-"""The engines of each model as they are during one tick, found in one pass over all engines.
+"""Engines of each model during one tick, found in one pass over all engines.
 
-Owns nothing beyond the tick. Relies on the engine directory for which engines may get work. Does
-not say which of them load a version (`load_choice.py`).
+Relies on the engine directory for which engines may get work. Does not decide which of them load a
+version (`load_choice.py`).
 """
 
 from collections.abc import Iterable
@@ -10,22 +10,22 @@
 from pondtiller.routes.engines import Engine, EngineDirectory, EngineState, usual_pace
 
 SLOW_FACTOR = 2.0
-"""An engine this many times slower than the usual one is not counted on. Chosen, not measured:
-well beyond the 1.3 by which sound engines of one service differ."""
+"""An engine this many times slower than usual does not count as available; sound engines of one
+service differ by up to 1.3."""
 
 
 @dataclass
 class ModelFleet:
-    """The engines that hold one model and may get work.
+    """Engines that serve one model and may get work.
 
     Attributes
     ----------
     engines
-        By identifier.
+        Engines by identifier.
     slow
-        Identifiers of those that are much slower than the usual one now.
+        Identifiers of those that are much slower than usual now.
     models
-        All models that these engines hold.
+        All models that these engines serve.
     """
 
     engines: dict[str, Engine] = field(default_factory=dict)
@@ -34,12 +34,12 @@
 
     @property
     def sound(self) -> int:
-        """How many engines may be counted on."""
+        """Number of engines that are not slow."""
         return len(self.engines) - len(self.slow)
 
     @property
     def slots(self) -> float:
-        """Requests that one engine takes at a time, in the mean."""
+        """Mean number of slots of an engine."""
         total = sum(engine.entry.slots for engine in self.engines.values())
         return total / len(self.engines) if self.engines else 1.0
 
