--- a/src/pondtiller/rollouts/placement.py
+++ b/src/pondtiller/rollouts/placement.py
@@ -1,16 +1,16 @@
 """Which engine takes a sample next. No I/O.
 
-An engine takes a sample where it has room, weights that may make the rest of it, and is in its
-homes; of those the cheapest place is taken (`place_cost.py`). Each engine that the sample's runs
-left just now is passed over while others could take it.
+An engine may take a sample if it has a free slot, weights that may make the rest of it, and is in
+its homes; the one with the cheapest slot is taken (`slot_cost.py`). Engines that the sample's runs
+left recently are skipped while others could take it.
 
-What a choice needs of a service (its usable engines, which of them have room, the usual pace)
-is worked out once a tick, and runs are counted by engine and group as they begin and end. So
-a tick costs one look at each engine, and for each sample the engines that are compared for it
-(`candidates.py`) and those that run samples of its group.
+The state of a service that a choice needs (usable engines, free slots, usual pace) is computed once
+a tick, and runs are counted by engine and group as they start and end. A tick thus examines each
+engine once, and for each sample only the compared engines (`candidates.py`) and those that run
+samples of its group.
 
-Owns the views of services, for one tick, and the counts of runs, for one term of a leader. Does not
-begin runs, and does not say when one moves (`moving.py`).
+Holds the views of services for one tick, and the counts of runs for one term of a leader. Does not
+start runs, and does not decide when one moves (`moving.py`).
 """
 
 from collections.abc import Callable
@@ -18,9 +18,9 @@
 from pondtiller.rollouts.candidates import Candidates
 from pondtiller.rollouts.cold_starts import ColdStarts
 from pondtiller.rollouts.group_runs import GroupRuns
-from pondtiller.rollouts.place_cost import PlaceCosts
 from pondtiller.rollouts.sample_work import SampleWork
 from pondtiller.rollouts.service_view import ServiceView, sample_need
+from pondtiller.rollouts.slot_cost import SlotCosts
 from pondtiller.routes.cold import ColdEngines
 from pondtiller.routes.engines import Engine, EngineDirectory, usual_pace
 
@@ -33,14 +33,14 @@
     is_loading
         Returns whether an engine, by its identifier, is changing the weights of a model.
     zone
-        Of the leader, to which all events of the runs go.
+        Zone of the leader, to which all events of the runs are sent.
     cold
-        Which engines are cold; None where none ever is.
+        Which engines are cold; None if none ever is.
 
     Attributes
     ----------
     views
-        Services by name, as they are in this tick.
+        Services by name, as of this tick.
     """
 
     def __init__(
@@ -53,13 +53,13 @@
         self.engines = engines
         self.is_loading = is_loading
         self.views: dict[str, ServiceView] = {}
-        self._costs = PlaceCosts(engines.places, zone)
+        self._costs = SlotCosts(engines.topology, zone)
         self._groups = GroupRuns()
         self._cold_starts = ColdStarts(cold)
 
     @property
     def cold_from(self) -> float:
-        """Before this time no sample is ordered at a cold engine, in seconds."""
+        """Before this monotonic time no sample is started at a cold engine."""
         return self._cold_starts.not_before
 
     @cold_from.setter
@@ -67,48 +67,48 @@
         self._cold_starts.not_before = at
 
     def begin_tick(self) -> None:
-        """Look at all services anew."""
+        """Discard the views of the last tick."""
         self.views.clear()
 
     def began(self, work: SampleWork) -> None:
-        """Count a run; its engine has one place less."""
+        """Count a run; its engine has one free slot less."""
         self._groups.began(work.engine, work.group)
         known = self.engines.engines.get(work.engine)
         if known is not None:
             self._cold_starts.began(known, work.run_started)
         view = self.views.get(work.service)
-        engine = view.with_room.get(work.engine) if view is not None else None
+        engine = view.free_engines.get(work.engine) if view is not None else None
         if view is None or engine is None:
             return
         is_full = not self._has_room(engine, work.run_started)
         if is_full:
-            del view.with_room[engine.identifier]
+            del view.free_engines[engine.identifier]
         for candidates in view.candidates.values():
-            candidates.filled(engine, is_full)
+            candidates.note_start(engine, is_full)
 
     def ended(self, work: SampleWork) -> None:
         """Count the end of a run."""
         self._groups.ended(work.engine, work.group)
 
     def view(self, service: str, now: float) -> ServiceView:
-        """Return a service as it is in this tick."""
+        """Return the view of a service in this tick."""
         found = self.views.get(service)
         if found is None:
             usable = self.engines.usable(service, now)
-            with_room = {
+            free_engines = {
                 engine.identifier: engine
                 for engine in usable
                 if now >= engine.not_before and self._has_room(engine, now)
             }
-            found = ServiceView(usable, with_room, usual_pace(usable))
+            found = ServiceView(usable, free_engines, usual_pace(usable))
             self.views[service] = found
         return found
 
     def choose(self, work: SampleWork, now: float) -> Engine | None:
-        """Return the engine that is to take a sample now, or None while none can."""
+        """Return the engine that should take a sample now, or None if none can."""
         service = work.service
         view = self.view(service, now)
-        if not view.with_room:
+        if not view.free_engines:
             return None
         candidates = self._candidates(view, work)
         if not candidates.compared:
@@ -126,10 +126,10 @@
     def _new_to(
         self, work: SampleWork, engines: list[Engine], view: ServiceView, now: float
     ) -> list[Engine]:
-        """Return the engines that a sample's runs have not left just now.
+        """Return the engines that the sample's runs have not left recently.
 
-        None where others could take it that have no room yet: one of them will, sooner than an
-        engine that is gone. All where there are no others.
+        If others without a free slot could take it, the result may be empty: one of them will be
+        free sooner than an engine recovers. If there are no others, all are returned.
         """
         if not work.left:
             return engines
@@ -143,7 +143,7 @@
         need = sample_need(work.service, work)
         found = view.candidates.get(need)
         if found is None:
-            suited = [each for each in view.with_room.values() if self.suits(each, work)]
+            suited = [each for each in view.free_engines.values() if self.suits(each, work)]
             found = Candidates(suited, lambda each: self._costs.base(each, view.pace))
             view.candidates[need] = found
         return found
@@ -154,7 +154,7 @@
         """Return the engines that run samples of the same group and are not compared yet."""
         if candidates.compares_all:
             return []
-        found = (view.with_room.get(each) for each in self._groups.engines_of(work.group))
+        found = (view.free_engines.get(each) for each in self._groups.engines_of(work.group))
         return [
             each
             for each in found
@@ -164,14 +164,14 @@
         ]
 
     def _has_room(self, engine: Engine, now: float) -> bool:
-        """Return whether an engine has a free slot, and may get a sample where it is cold."""
+        """Return whether an engine has a free slot, and may start a sample if it is cold."""
         return engine.running < engine.entry.slots and self._cold_starts.left(engine, now) > 0
 
     def reserve_better(self, work: SampleWork, pace: float, factor: float, now: float) -> bool:
-        """Reserve a place for a run on an engine that is `factor` times as fast as a pace.
+        """Reserve a slot for a run on an engine that is `factor` times as fast as a pace.
 
-        Each place is promised to one run only: a run that leaves its engine and finds no place
-        elsewhere goes back to the same engine, and has gained nothing.
+        Each slot is reserved for one run only: a run that leaves its engine without finding another
+        slot returns to the same engine and has gained nothing.
 
         Parameters
         ----------
@@ -181,7 +181,7 @@
         Returns
         -------
         bool
-            False where no such engine has room to spare.
+            False if no such engine has a free slot to spare.
         """
         view = self.view(work.service, now)
         for other in self._by_pace(view):
@@ -199,21 +199,21 @@
         return False
 
     def _by_pace(self, view: ServiceView) -> list[Engine]:
-        """Return the engines with room, the fastest first; sorted once a tick."""
+        """Return the engines with free slots, fastest first; sorted once a tick."""
         if view.by_pace is None:
             view.by_pace = sorted(
-                view.with_room.values(), key=lambda each: self.expected_pace(each, view)
+                view.free_engines.values(), key=lambda each: self.expected_pace(each, view)
             )
         return view.by_pace
 
     def expected_pace(self, engine: Engine, view: ServiceView) -> float:
-        """Return the time between two events; an engine that made none lately is a usual one."""
+        """Return the time between two events; the usual one for an engine without recent events."""
         return engine.event_seconds or view.pace
 
     def suits(self, engine: Engine, work: SampleWork) -> bool:
         """Return whether an engine may make the rest of a sample: its region and its weights."""
         homes = work.route.homes
-        return self.engines.places.allows_zone(engine.entry.zone, homes) and self.has_weights(
+        return self.engines.topology.allows_zone(engine.entry.zone, homes) and self.has_weights(
             engine, work
         )
 
@@ -224,7 +224,7 @@
         version = engine.entry.models.get(work.model)
         if version is None:
             return not engine.entry.models
-        stays_with = work.stays_with
-        if stays_with is not None:
-            return version == stays_with
+        required_version = work.required_version
+        if required_version is not None:
+            return version == required_version
         return version >= work.oldest_version
--- a/src/pondtiller/rollouts/progress.py
+++ b/src/pondtiller/rollouts/progress.py
@@ -1,10 +1,10 @@
-"""Unfinished texts for a leader's successor: what is worth keeping, sent once. No I/O.
+"""Which unfinished texts are saved for a leader's successor; each event is sent once. No I/O.
 
-Losing a text costs the time that it took to make, nothing else. So only runs that have lasted
-a while are kept, and each replica is sent only the events that it was not sent before.
+Losing a text only costs the time that it took to make. Therefore only runs that have lasted a while
+are saved, and each replica receives only the events that it was not sent before.
 
-Owns what each replica was sent, for one term of a leader. The texts last at the replicas
-(`steplog/kept_texts.py`); a successor takes them into `unfinished_texts.py`.
+Holds what was sent to each replica, for one term of a leader. The replicas keep the texts
+(`steplog/kept_texts.py`); a successor loads them into `unfinished_texts.py`.
 """
 
 import json
@@ -15,14 +15,13 @@
 from pondtiller.wire.steplog import SampleProgress
 
 WORTH_KEEPING_SECONDS = 0.5
-"""Age of a run from which on its text is sent to replicas, in seconds. Answers the load of a leader
-that sent every unfinished text each second: 8 MB at once to 13 replicas, behind which its
-heartbeats waited until it lost its lease. 0.5 s is also the time between two saves: a run that is
-younger costs that much again at most."""
+"""Age of a run from which on its text is sent to replicas. A leader that sent every unfinished text
+each second sent 8 MB at once to 13 replicas, which delayed its heartbeats until it lost its lease.
+0.5 s is also the interval of the saves: a younger run loses that much again at most."""
 
 
 def pack_events(events: list[str]) -> bytes:
-    """Return events as one part: decoding them one by one would hold up a new leader."""
+    """Return events as one part: decoding them one by one would delay a new leader."""
     return json.dumps(events).encode()
 
 
@@ -31,37 +30,37 @@
     return [event for part in parts for event in json.loads(part)]
 
 
-class ProgressNews(NamedTuple):
-    """Texts that several replicas lack alike, with the numbers of their links."""
+class ProgressUpdate(NamedTuple):
+    """Texts that several replicas lack, with the numbers of their links."""
 
     links: list[int]
     samples: list[SampleProgress]
 
 
 class ProgressSaver:
-    """Knows what each replica was sent, by the number of its link."""
+    """Tracks what was sent to each replica, by the number of its link."""
 
     def __init__(self) -> None:
         self.sent: dict[int, dict[str, int]] = {}
 
-    def news_of(
+    def updates_for(
         self, links: Sequence[int], works: Collection[SampleWork], now: float, is_last: bool
-    ) -> list[ProgressNews]:
-        """Return what replicas lack, once for those that were sent the same before."""
+    ) -> list[ProgressUpdate]:
+        """Return what replicas lack, grouped by those that were sent the same before."""
         alike: dict[tuple[tuple[str, int], ...], list[int]] = {}
         for link in links:
             before = tuple(self.sent.get(link, {}).items())
             alike.setdefault(before, []).append(link)
-        found: list[ProgressNews] = []
+        found: list[ProgressUpdate] = []
         for group in alike.values():
-            samples = self.news(group[0], works, now, is_last)
+            samples = self.update_for(group[0], works, now, is_last)
             for link in group[1:]:
                 self.sent[link] = self.sent[group[0]]
             if samples:
-                found.append(ProgressNews(group, samples))
+                found.append(ProgressUpdate(group, samples))
         return found
 
-    def news(
+    def update_for(
         self, link: int, works: Iterable[SampleWork], now: float, is_last: bool = False
     ) -> list[SampleProgress]:
         """Return what a replica lacks; before a handover (`is_last`) also of recent runs."""
@@ -82,7 +81,7 @@
 
 
 def _since(work: SampleWork, after: int) -> SampleProgress:
-    """Return a text's events after one; all of them where the text was begun anew."""
+    """Return a text's events after one; all of them if the text was restarted."""
     text = work.text
     if text.last_event < after:
         after = 0
--- a/src/pondtiller/rollouts/run_news.py
+++ b/src/pondtiller/rollouts/run_news.py
@@ -1,8 +1,8 @@
-"""What a runner tells a leader of its runs: events gathered, ends, scores. No I/O.
+"""Messages of a runner to a leader about its runs: batched events, ends, scores. No I/O.
 
-Owns what is not sent yet; it is lost with the gateway, and its runs with it. The message's fields
-are JSON rows in the order of the types here. Does not say when news are sent
-(`gateway/runs/leader_runs.py`).
+Holds what is not sent yet; it is lost with the gateway, and its runs with it. The message's fields
+are JSON rows in the order of the types here. When messages are sent is decided in
+`gateway/runs/leader_runs.py`.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 
 class RunEvent(NamedTuple):
-    """One event of a run, with the time at which it came, in seconds."""
+    """One event of a run, with its arrival time in seconds."""
 
     run: int
     number: int
@@ -32,12 +32,12 @@
 
 
 class ScoredRun(NamedTuple):
-    """What became of scoring the text that a run made whole.
+    """Result of scoring the text that a run completed.
 
     Attributes
     ----------
     attempts
-        Failures after which the sample is given up.
+        Number of failures after which the sample is given up.
     request
         Identifier of the scorer's request.
     """
@@ -56,9 +56,9 @@
     Attributes
     ----------
     number
-        Of the first event.
+        Number of the first event.
     first_age, last_age
-        How long before the message its first and last event came, in milliseconds.
+        Age of the first and the last event when the message is sent, in milliseconds.
     """
 
     run: int
@@ -69,8 +69,8 @@
     data: list[str]
 
 
-class NewsGatherer:
-    """Gathers what happens to all runs of a runner until it is told."""
+class RunNewsBatch:
+    """Batches the events of all runs of a runner until they are sent."""
 
     def __init__(self) -> None:
         self.events: list[RunEvent] = []
@@ -78,11 +78,11 @@
         self.scored: list[ScoredRun] = []
 
     def drop(self, run: int) -> None:
-        """Forget what a run made: nobody waits for it any more."""
+        """Discard the events of a run that is no longer wanted."""
         self.events = [event for event in self.events if event.run != run]
 
-    def take(self, now: float) -> RunNews:
-        """Return what came since the last call, the events in parts of one run and version."""
+    def pop_message(self, now: float) -> RunNews:
+        """Return what was batched since the last call, by run and version."""
         events = [_part(each, now) for each in _parts(self.events)]
         news = RunNews(_encode(events), _encode(self.ended), _encode(self.scored))
         self.events, self.ended, self.scored = [], [], []
@@ -90,7 +90,7 @@
 
 
 def _parts(events: list[RunEvent]) -> list[list[RunEvent]]:
-    """Return events in parts of one run and version, each in order of its numbers without a gap."""
+    """Return events in parts of one run and version, each numbered consecutively."""
     parts: list[list[RunEvent]] = []
     last: dict[int, list[RunEvent]] = {}
     for event in events:
@@ -131,17 +131,17 @@
 
 
 def read_events(news: RunNews, now: float) -> list[RunEvent]:
-    """Return the events of a message in order of time; those between two told times evenly.
+    """Return the events of a message in order of time, interpolated between the transmitted times.
 
     Raises
     ------
     ValueError, TypeError
-        Where the message is not sound.
+        If the message is malformed.
     """
     found: list[RunEvent] = []
     last_at: dict[int, float] = {}
     for run, number, version, first_age, last_age, data in _rows(news.events):
-        # Never below 0, whatever the ages are: sorting would bring a run's events out of order.
+        # Never negative, whatever the ages are: sorting would reorder a run's events.
         step = max(0, first_age - last_age) / 1000.0 / max(1, len(data) - 1)
         # Times are rounded: the parts of a run must not overlap, or sorting would mix them.
         began = max(now - first_age / 1000.0, last_at.get(run, 0.0))
@@ -150,7 +150,7 @@
             for place, each in enumerate(data)
         ]
         last_at[run] = found[-1].at
-    # Sorting keeps the order of events of one run that came together.
+    # Sorting is stable, so simultaneous events of one run keep their order.
     return sorted(found, key=lambda event: event.at)
 
 
@@ -160,5 +160,5 @@
 
 
 def read_scores(news: RunNews) -> list[ScoredRun]:
-    """Return what became of scoring; raises as `read_events` does."""
+    """Return the results of scoring; raises as `read_events` does."""
     return [ScoredRun(run, ScoreEnd(end), *rest) for run, end, *rest in _rows(news.scored)]
--- a/src/pondtiller/rollouts/run_table.py
+++ b/src/pondtiller/rollouts/run_table.py
@@ -1,7 +1,7 @@
-"""Runs that are under way at engines, and cancelled ones that may still be. No I/O.
+"""Runs in progress at engines, and cancelled ones that may still be. No I/O.
 
-Owns their numbers, places and ends, for one term of a leader. Relies on `placement.py`, which
-counts them by engine and group. Decides nothing: the scheduler says what begins and what stops.
+Holds their numbers, slots and ends for one term of a leader. `placement.py` counts them by engine
+and group. The scheduler decides what starts and what stops.
 """
 
 from pondtiller.rollouts.placement import Placement
@@ -19,12 +19,12 @@
 
 
 class RunTable:
-    """Knows which run makes which sample.
+    """Maps runs to samples.
 
     Attributes
     ----------
     runs
-        Samples by the number of their run, those whose engines work.
+        Samples by the number of their run, for runs whose engines are working.
     """
 
     def __init__(self, engines: EngineDirectory, placement: Placement) -> None:
@@ -36,21 +36,21 @@
 
     @property
     def ending(self) -> set[str]:
-        """Samples, as their texts are kept, at which an engine may still work though cancelled."""
+        """Stored names of samples on which an engine may still work although cancelled."""
         return set(self._ending.values())
 
     def begin(
         self, work: SampleWork, engine: Engine, now: float, runner: str = "", held: RunName = NO_RUN
     ) -> StartRun:
-        """Begin a run, or take one over that goes on at its runner."""
+        """Start a run, or take over one that continues at its runner."""
         self._last_run += 1
         work.run = self._last_run
         work.engine = engine.identifier
         work.stage = Stage.RUNNING
-        work.run_started = work.last_heard = now
+        work.run_started = work.last_event_at = now
         work.checked_at = 0.0
         work.run_events = 0
-        work.spans_pause = False
+        work.gap_spans_pause = False
         work.is_taken_over = held != NO_RUN
         engine.running += 1
         self.runs[work.run] = work
@@ -62,7 +62,7 @@
             work.route,
             engine.identifier,
             work.text.last_event,
-            work.stays_with,
+            work.required_version,
             work.step.step.tenant,
             work.text.made_by,
             runner,
@@ -72,7 +72,7 @@
         )
 
     def cancel(self, work: SampleWork, reason: CancelReason) -> CancelRun | None:
-        """End a sample's run before its engine does; None where it has none."""
+        """End a sample's run before its engine does; return None if it has none."""
         if self.runs.pop(work.run, None) is None:
             return None
         self._ending[work.run] = work.storage_name
@@ -80,7 +80,7 @@
         return CancelRun(work.run, work.sample_id, work.engine, reason)
 
     def end(self, run: int, end: RunEnd, now: float) -> SampleWork | None:
-        """Take the end of a run; return its sample, None where it was cancelled before."""
+        """Record the end of a run; return its sample, or None if it was cancelled before."""
         self.is_over(run)
         work = self.runs.pop(run, None)
         if work is None:
@@ -91,37 +91,37 @@
         return work
 
     def is_over(self, run: int) -> None:
-        """Take that no engine works on a cancelled run any more."""
+        """Record that no engine works on a cancelled run any more."""
         self._ending.pop(run, None)
 
-    def checked(self, runs: list[int], now: float) -> None:
-        """Take that all events of these runs are known until now."""
+    def note_checked(self, runs: list[int], now: float) -> None:
+        """Record that all events of these runs until now are known."""
         for run in runs:
             work = self.runs.get(run)
             if work is not None:
                 work.checked_at = now
 
-    def stalled(self, runs: list[int], seconds: float, now: float) -> None:
-        """Count so many seconds of these runs' silence, until now, as none."""
+    def note_stalled_runs(self, runs: list[int], seconds: float, now: float) -> None:
+        """Exclude a pause of so many seconds until now from these runs' silence."""
         for run in runs:
             work = self.runs.get(run)
             if work is not None:
-                work.last_heard = min(now, work.last_heard + seconds)
-                work.spans_pause = True
+                work.last_event_at = min(now, work.last_event_at + seconds)
+                work.gap_spans_pause = True
 
     def note_stall(self, now: float) -> None:
-        """Count no run's silence until now."""
+        """Exclude the time until now from all runs' silence."""
         for work in self.runs.values():
-            work.last_heard = now
+            work.last_event_at = now
 
     def abandon(self) -> None:
-        """Free all places: another leader goes on with the samples."""
+        """Release all slots: another leader continues the samples."""
         for work in self.runs.values():
             self._free_place(work)
         self.runs.clear()
 
     def _free_place(self, work: SampleWork) -> Engine | None:
-        """Give a run's place back; return its engine where it is still known."""
+        """Release a run's slot; return its engine if it is still known."""
         self._placement.ended(work)
         engine = self._engines.engines.get(work.engine)
         if engine is not None:
--- a/src/pondtiller/rollouts/runner_choice.py
+++ b/src/pondtiller/rollouts/runner_choice.py
@@ -1,11 +1,11 @@
 """Which daemons run samples for a leader, and which of them serves which engine. No I/O.
 
-A runner holds the streams of its engines' runs, so that a leader hears of them a few times a
-second and not at each event. Those of an engine's zone come first: what an engine sends then
-stays in its zone until it is packed.
+A runner holds the streams of its engines' runs, so that a leader receives a few messages a second
+instead of each event. Runners in an engine's zone come first, so that the engine's output stays in
+its zone until it is batched.
 
-Owns which runner serves which engine, for one term of a leader. Does not connect
-(`gateway/leader/run_links.py`).
+Holds which runner serves which engine, for one term of a leader. Connections are made by
+`gateway/leader/run_links.py`.
 """
 
 from collections import Counter
@@ -17,10 +17,10 @@
 from pondtiller.routes.topology import Distance, Topology
 
 RUNS_PER_CORE = 30.0
-"""Streams that a core may hold: each takes 0.7 % of one (20 events a second at 0.35 ms), with
-as much again for beginning, scoring and the runner's own callers, at less than half its power."""
-FEWEST_RUNNERS = 2
-"""In a zone, so that the loss of one leaves another that is connected."""
+"""Streams that a core may hold. Each takes 0.7% of one (20 events a second at 0.35 ms), with as
+much again for starting, scoring and the runner's own callers, at less than half of its capacity."""
+MIN_RUNNERS = 2
+"""Runners per zone, so that after the loss of one another is connected."""
 
 
 class Daemon(NamedTuple):
@@ -35,12 +35,12 @@
 def wanted_runners(
     daemons: Iterable[Daemon], engines: Iterable[Engine], connected: frozenset[str]
 ) -> list[Daemon]:
-    """Return the daemons to be connected to: in each zone enough for its engines' places.
+    """Return the daemons to connect to: in each zone enough for the slots of its engines.
 
     Parameters
     ----------
     connected
-        Names of those that are; they stay, since their connections to engines are open.
+        Names of connected daemons, which stay, since their connections to engines are open.
     """
     places: Counter[str] = Counter()
     for engine in engines:
@@ -57,12 +57,12 @@
 
 
 def _enough(daemons: list[Daemon], places: int, connected: frozenset[str]) -> list[Daemon]:
-    """Return those of one zone that are connected, then the fastest, until they suffice."""
+    """Return the connected daemons of one zone, then the fastest, until they suffice."""
     ordered = sorted(daemons, key=lambda each: (each.name not in connected, -each.cores, each.name))
     chosen: list[Daemon] = []
     room = 0.0
     for daemon in ordered:
-        if room >= places and len(chosen) >= FEWEST_RUNNERS:
+        if room >= places and len(chosen) >= MIN_RUNNERS:
             break
         chosen.append(daemon)
         room += daemon.cores * RUNS_PER_CORE
@@ -70,26 +70,26 @@
 
 
 class EngineRunners:
-    """Remembers which runner serves which engine, so that connections stay in use.
+    """Remembers which runner serves which engine, so that connections are reused.
 
     Parameters
     ----------
-    places
-        Zones with their regions.
+    topology
+        Zones and their regions.
     zone
-        Of the leader, which serves an engine itself where only runners of other regions could.
+        Zone of the leader, which serves an engine itself if only runners of other regions could.
     """
 
-    def __init__(self, places: Topology | None = None, zone: str = "") -> None:
+    def __init__(self, topology: Topology | None = None, zone: str = "") -> None:
         self.runner_of: dict[str, str] = {}
-        self._places = places or Topology()
+        self._topology = topology or Topology()
         self._zone = zone
 
     def choose(self, engine: Engine, runners: Mapping[str, Daemon]) -> str | None:
-        """Return the name of an engine's runner among those connected; None where none is.
+        """Return the name of an engine's runner among those connected; None if there is none.
 
-        One in its zone, else in its region; one of another region only where neither such a
-        runner nor the leader itself is nearer, and only until a nearer one is connected.
+        One in its zone is preferred, then in its region; one of another region only if neither such
+        a runner nor the leader itself is nearer, and only until a nearer one is connected.
         """
         if not runners:
             return None
@@ -107,7 +107,7 @@
         return chosen.name
 
     def _distance(self, engine: Engine, zone: str) -> Distance:
-        return self._places.distance(engine.entry.zone, zone)
+        return self._topology.distance(engine.entry.zone, zone)
 
     def forget(self, engines: Iterable[str]) -> None:
         """Forget engines that are not among those given."""
@@ -117,5 +117,5 @@
 
 
 def _may_stay(distance: Distance, nearest: Distance) -> bool:
-    """Return whether an engine's runner is kept; another zone costs less than new connections."""
+    """Return whether an engine keeps its runner; another zone costs less than new connections."""
     return distance is nearest or distance < Distance.OTHER_REGION
--- a/src/pondtiller/rollouts/sample_work.py
+++ b/src/pondtiller/rollouts/sample_work.py
@@ -1,28 +1,28 @@
-"""What the sample scheduler works on: a sample's stages, its text, and the instructions.
+"""Types of the sample scheduler: a sample's stages, its text, and the instructions.
 
-Types alone. `SampleWork` is what a leader knows of a sample during one term; `samples.py` owns the
-open ones and changes them, together with `run_table.py`. Does not decide anything.
+`SampleWork` is what a leader knows of a sample during one term; `samples.py` holds the open ones
+and changes them, together with `run_table.py`.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum, StrEnum
 from typing import NamedTuple
 
-from pondtiller.rollouts.start_order import FIRST_OF_ALL, StartOrder
+from pondtiller.rollouts.start_order import UNORDERED, StartOrder
 from pondtiller.rollouts.step_record import SampleHead, StepRecord
 from pondtiller.routes.quarantine import sample_content
 from pondtiller.routes.table import RouteRow
 from pondtiller.routes.tenants import owned_name
 from pondtiller.wire.steplog import SampleResult
 
-BACK_SECONDS = 4.0
-"""How long a sample does not go back to an engine that its run left. An engine without power stands
-in the list for three heartbeats (3.6 s), longer than its pause after a failure: a long sample went
-back to one four times, and its step was late by that."""
+NO_RETURN_SECONDS = 4.0
+"""How long a sample does not return to an engine that its run left. An engine without power stays
+listed for three heartbeats (3.6 s), longer than its pause after a failure: a long sample returned
+to one four times, which made its step late."""
 
 
 class Stage(Enum):
-    """How far a sample is."""
+    """Stage of a sample."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -31,7 +31,7 @@
 
 
 class RunEnd(StrEnum):
-    """How a run on an engine ended."""
+    """Outcome of a run on an engine."""
 
     WHOLE = "whole"
     BROKEN = "broken"
@@ -42,7 +42,7 @@
 
 
 class ScoreEnd(StrEnum):
-    """How a scorer's request ended."""
+    """Outcome of a scorer's request."""
 
     SCORED = "scored"
     FAILED = "failed"
@@ -69,7 +69,7 @@
 
 
 class RunName(NamedTuple):
-    """A run among those of all leaders: the leader's epoch, and the number that it gave."""
+    """Name of a run, unique over all leaders: the leader's epoch, and the number that it gave."""
 
     epoch: int
     run: int
@@ -79,20 +79,20 @@
 
 
 class StartRun(NamedTuple):
-    """Send a sample to an engine, after `last_event` where it is continued.
+    """Send a sample to an engine, after `last_event` if it is continued.
 
     Attributes
     ----------
     tenant
-        Whose sample it is; empty where the step has no tenant.
+        Tenant of the sample; empty if the step has none.
     text_by
-        The run that made the last event.
+        Run that made the last event.
     runner
-        Daemon where a run of it goes on that is taken over; empty where one is begun.
+        Daemon at which a run that is taken over continues; empty if a new one is started.
     held
         Name of the run that is taken over.
     table_version
-        Version of the table that holds the route; 0 where it is not told.
+        Version of the table that holds the route; 0 if not stated.
     step_path
         Path of the sample's step.
     """
@@ -113,18 +113,18 @@
 
 
 class OfferedRun(NamedTuple):
-    """A run of an earlier leader that goes on at its runner.
+    """A run of an earlier leader that continues at its runner.
 
     Attributes
     ----------
     sample
-        Name under which the sample's unfinished text is kept.
+        Name under which the sample's unfinished text is stored.
     after_event
-        The run began after this event.
+        Event after which the run started.
     name
-        Of the leader that began it, or took it over last.
+        Name given by the leader that started it, or that took it over last.
     text_by
-        The run that made the event after which it began.
+        Run that made the event after which it started.
     earlier_names
         Its names under the leaders before that one.
     """
@@ -143,7 +143,7 @@
     Attributes
     ----------
     reason
-        Why, for the logs.
+        Reason, for logs.
     """
 
     run: int
@@ -153,12 +153,12 @@
 
 
 class ScoreText(NamedTuple):
-    """Have a finished sample judged.
+    """Have a finished sample scored.
 
     Attributes
     ----------
     run, engine
-        The run that made it whole, and its engine; 0 and empty where a kept text was.
+        Run that completed it, and its engine; 0 and empty if a stored text was complete.
     """
 
     step: str
@@ -168,12 +168,12 @@
 
 
 class ListResult(NamedTuple):
-    """Give a sample's result its position.
+    """Assign a position to a sample's result.
 
     Attributes
     ----------
     given_up
-        Why it was given up; None where it succeeded.
+        Why it was given up; None if it succeeded.
     """
 
     step: str
@@ -186,18 +186,18 @@
 
 @dataclass
 class Text:
-    """What was made of a sample so far.
+    """Text of a sample so far.
 
     Attributes
     ----------
     events
-        Data of the events from the first on.
+        Data of all events, from the first.
     versions
-        Versions that made them, without repeats.
+        Distinct versions that made them.
     last_event
         Number of the last event; 0 before the first.
     made_by
-        The run that made the last event.
+        Run that made the last event.
     """
 
     events: list[str] = field(default_factory=list)
@@ -207,7 +207,7 @@
     made_by: RunName = NO_RUN
 
     def add(self, number: int, data: str, version: int, made_by: RunName) -> None:
-        """Take the next event."""
+        """Append the next event."""
         self.events.append(data)
         self.made_by = made_by
         self.last_event = number
@@ -215,7 +215,7 @@
             self.versions.append(version)
 
     def fits(self, oldest_version: int, single_version: bool) -> bool:
-        """Return whether all of it may stand in a step's sample."""
+        """Return whether all of it may be used in a step's sample."""
         if any(version < oldest_version for version in self.versions):
             return False
         return not single_version or len(self.versions) <= 1
@@ -230,40 +230,40 @@
     cost
         Tokens that are expected to be made.
     size
-        The same against the mean of the step's samples.
+        The same relative to the mean of the step's samples.
     storage_name
-        Name under which its unfinished text is kept: two tenants may use the same identifier.
+        Name under which its unfinished text is stored; two tenants may use the same identifier.
     order
-        Where it stands among the samples that wait.
+        Its position among the waiting samples.
     run, engine, run_started, run_events
-        Its run, its engine, when it began, and how many events it made; of the last run where
-        none is under way. Times are in seconds of the steady clock.
-    last_heard
-        When the run's last event came, or the run began.
-    spans_pause
-        Whether who reads the run's stream was paused since its last event.
+        Its run, the engine, the start and the number of events of that run; of the last run if none
+        is in progress. Times are monotonic, in seconds.
+    last_event_at
+        When the run's last event arrived, or the run started.
+    gap_spans_pause
+        Whether the process that reads the run's stream was paused since its last event.
     moves
-        How often it was moved for silence or slowness.
+        Number of moves for silence or slowness.
     late_at
-        When it is given up for its age, in seconds of the time of day.
+        When it is given up for its age, in wall-clock seconds.
     is_routed
         Whether a row in force serves its step.
     table_version
-        Version of the table that says so; 0 where it is not told.
+        Version of the table that says so; 0 if not stated.
     group, model, oldest_version, accepted_at
-        Copies of the sample's and the step's own: a message's fields are slow to read, and
-        these are looked at in every tick.
+        Copies of fields of the sample and the step: message fields are slow to read, and these are
+        used in every tick.
     checked_at
-        Until when it is known what came, where the run is at another daemon; 0 where it is here
-        or nothing was told yet.
+        Time up to which its events are known, if the run is at another daemon; 0 if it is here or
+        no message has arrived yet.
     attempts_failed
-        Answers that say that the run failed.
+        Answers that report a failure of the run.
     score_failures
-        The same of the scorer.
+        Answers that report a failure of the scorer.
     left
-        When a run of it broke off at an engine, or left it, by the engine's identifier.
+        When a run of it broke off at an engine or left it, by the engine's identifier.
     is_taken_over
-        Whether its run was begun under an earlier leader.
+        Whether its run was started under an earlier leader.
     """
 
     step: StepRecord
@@ -271,14 +271,14 @@
     sample: SampleHead
     cost: float
     size: float = 1.0
-    order: StartOrder = FIRST_OF_ALL
+    order: StartOrder = UNORDERED
     stage: Stage = Stage.WAITING
     text: Text = field(default_factory=Text)
     run: int = 0
     engine: str = ""
     run_started: float = 0.0
-    last_heard: float = 0.0
-    spans_pause: bool = False
+    last_event_at: float = 0.0
+    gap_spans_pause: bool = False
     checked_at: float = 0.0
     run_events: int = 0
     moves: int = 0
@@ -302,8 +302,8 @@
         self.accepted_at: float = step.accepted_at
 
     def has_left(self, engine: str, now: float) -> bool:
-        """Return whether it is not to go back to an engine yet."""
-        return now < self.left.get(engine, float("-inf")) + BACK_SECONDS
+        """Return whether it must not return to an engine yet."""
+        return now < self.left.get(engine, float("-inf")) + NO_RETURN_SECONDS
 
     @property
     def service(self) -> str:
@@ -311,8 +311,8 @@
         return self.route.choose_service(self.sample_id)
 
     @property
-    def stays_with(self) -> int | None:
-        """Version that must make the rest, where one alone may stand in the text."""
+    def required_version(self) -> int | None:
+        """Version that must make the rest, if the text may contain only one version."""
         if self.route.single_version and self.text.versions:
             return self.text.versions[0]
         return None
--- a/src/pondtiller/rollouts/samples.py
+++ b/src/pondtiller/rollouts/samples.py
@@ -1,20 +1,19 @@
-"""Samples of open steps on engines: which runs where, when one moves, what is given up. No I/O.
-
-Each sample goes from waiting to running to scoring to listed. A run that breaks is continued
-on another engine after its last whole event. Owns the open samples and what is known of them, for
-one term of a leader; what lasts is in the step log (`steps.py`) and, for unfinished texts, at the
-replicas (`progress.py`).
-
-Relies on the decisions, each in a module of its own: which engine takes a sample
-(`placement.py`), who begins first (`start_order.py`, `turns.py`), when a run moves (`moving.py`),
-when a sample is given up (`giving_up.py`), whether a run of an earlier leader goes on
-(`taking_over.py`). Does not send or write: it leaves instructions, which the leader's term carries
-out and logs.
+"""Scheduler of the samples of open steps: placement, moves, giving up. No I/O.
+
+Each sample goes from waiting to running to scoring to listed. A run that breaks is continued on
+another engine after its last complete event. Holds the open samples for one term of a leader;
+durable state is in the step log (`steps.py`) and, for unfinished texts, at the replicas
+(`progress.py`).
+
+The decisions are in modules of their own: which engine takes a sample (`placement.py`), which
+starts first (`start_order.py`, `turns.py`), when a run moves (`moving.py`), when a sample is given
+up (`giving_up.py`), whether a run of an earlier leader continues (`taking_over.py`). Does not send
+or write: it emits instructions, which the leader's term executes and logs.
 """
 
 from collections.abc import Callable
 
-from pondtiller.rollouts.giving_up import late_at, why_after_run, why_after_scoring
+from pondtiller.rollouts.giving_up import late_at, reason_after_run, reason_after_scoring
 from pondtiller.rollouts.moving import SILENT, STAYS, choose_move, may_move
 from pondtiller.rollouts.placement import Placement
 from pondtiller.rollouts.run_table import RunTable
@@ -35,7 +34,7 @@
 from pondtiller.rollouts.shedding import GroupKey
 from pondtiller.rollouts.start_order import start_order
 from pondtiller.rollouts.step_record import StepRecord
-from pondtiller.rollouts.taking_over import OfferedSample, TakeOverRefusal, why_not_taken_over
+from pondtiller.rollouts.taking_over import OfferedSample, TakeOverRefusal, refusal_to_take_over
 from pondtiller.rollouts.turns import GroupTurns
 from pondtiller.rollouts.unfinished_texts import UnfinishedTexts
 from pondtiller.routes.cold import ColdEngines
@@ -44,43 +43,42 @@
 from pondtiller.routes.table import RouteRow
 from pondtiller.wire.steplog import SampleProgress, SampleResult
 
-LOOK_SECONDS = 0.1
-"""Between two looks at which runs are to move, in seconds. Answers a scheduler that looks at every
-run at each event: with four trainers, 260 runs and 22 engines it ticks some hundred times a
-second, and a leader did nothing else; no sample was listed all day. With this, and engines sorted
-once a tick, the same day listed 911 samples in its first 15 s."""
-STARTS_A_TICK = 100
-"""Runs that one tick begins. Answers the load of a large step, or of several, for which many
-places are free: each start takes a choice (0.12 ms of a core), a message (0.18 ms), a task and a
-log line, and until all are sent no heartbeat leaves. On the smallest machines (0.12 of a core)
-100 starts take 0.3 s, less than a third of the lease."""
+CHECK_SECONDS = 0.1
+"""Interval of the check which runs should move. A scheduler that checked every run at each event,
+with four trainers, 260 runs and 22 engines, ticked some hundred times a second, and its leader did
+nothing else: no sample was listed in a day. With this interval, and engines sorted once a tick, the
+same day listed 911 samples in its first 15 s."""
+STARTS_PER_TICK = 100
+"""Runs that one tick may start. Each start takes a choice (0.12 ms of a core), a message (0.18 ms),
+a task and a log line, and until all are sent no heartbeat leaves. On the smallest machines (0.12 of
+a core) 100 starts take 0.3 s, less than a third of the lease."""
 
 
 class SampleScheduler:
-    """Decides for all open steps.
+    """Schedules the samples of all open steps.
 
     Parameters
     ----------
     is_loading
         Returns whether an engine, by its identifier, is changing the weights of a model.
     zone
-        Of this leader, to which all events of the runs go.
+        Zone of this leader, to which all events of the runs are sent.
     cold
-        Which engines are cold; None where none ever is.
-    is_held
-        Returns whether no engine may get a sample, since engines ended under it. It waits until its
-        step ends or it is given up as too late; else one sample would take engine after engine.
-    ends
-        Returns how many engines ended under a sample.
+        Which engines are cold; None if none ever is.
+    is_quarantined
+        Returns whether a sample is quarantined since it crashed engines. It waits until its step
+        ends or it is given up as too late; otherwise one sample would crash engine after engine.
+    crash_count
+        Returns how many engines crashed under a sample.
 
     Attributes
     ----------
     epoch
-        Of the leader, which names its runs with it.
-    begins_none
-        Whether no run is begun, since those of an earlier leader may be taken over.
+        Epoch of the leader, part of its runs' names.
+    may_not_start
+        Whether no run may be started, since those of an earlier leader may be taken over.
     has_more
-        Whether the last tick left samples for the next one that could begin now.
+        Whether the last tick left samples that could start in the next one.
     """
 
     def __init__(
@@ -89,45 +87,45 @@
         is_loading: Callable[[str, str], bool],
         zone: str = "",
         cold: ColdEngines | None = None,
-        is_held: Callable[[str], bool] | None = None,
-        ends: Callable[[str], int] | None = None,
+        is_quarantined: Callable[[str], bool] | None = None,
+        crash_count: Callable[[str], int] | None = None,
     ) -> None:
         self.placement = Placement(engines, is_loading, zone, cold)
         self.work: dict[tuple[str, str], SampleWork] = {}
         self._table = RunTable(engines, self.placement)
         self.runs = self._table.runs
         self._engines = engines
-        self._is_held = is_held or (lambda _content: False)
-        self._ends = ends or (lambda _content: 0)
+        self._is_quarantined = is_quarantined or (lambda _content: False)
+        self._crash_count = crash_count or (lambda _content: 0)
         self._texts = UnfinishedTexts()
         self._group_turns = GroupTurns(self.placement)
         self.run_times = self._group_turns.run_times
-        self._starts_seen = 0
+        self._restarts_seen = 0
         self.epoch = 0
-        self.begins_none = False
+        self.may_not_start = False
         self._next_look = float("-inf")
         self.has_more = False
         self._out: list[Instruction] = []
 
     @property
     def turns(self) -> dict[GroupKey, int]:
-        """Turn of each group, 0 first; empty while all groups can be whole in time."""
+        """Turn of each group, 0 first; empty while all groups can be complete in time."""
         return self._group_turns.turns
 
-    def take(self) -> list[Instruction]:
+    def pop_instructions(self) -> list[Instruction]:
         """Return the instructions since the last call."""
         taken, self._out = self._out, []
         return taken
 
-    # Steps
+    # Steps and routes
 
     def open(self, record: StepRecord, route: RouteRow, table_version: int = 0) -> None:
-        """Take an accepted step; samples that are listed already are left out.
+        """Add an accepted step; samples that are listed already are left out.
 
         Parameters
         ----------
         table_version
-            Version of the table that holds the row; 0 where it is not told.
+            Version of the table that holds the row; 0 if not stated.
         """
         mean = sum(each.expected_tokens for each in record.samples) / max(record.total, 1)
         for sample in record.samples:
@@ -147,13 +145,13 @@
                 self._score(work)
 
     def abandon(self) -> None:
-        """Leave all engines: another leader goes on with the samples."""
+        """Release all engines: another leader continues the samples."""
         self._table.abandon()
 
     def refresh_routes(
         self, find: Callable[[str, str, str], RouteRow | None], table_version: int = 0
     ) -> None:
-        """Take the rows in force, by host, path and tenant; samples whose row is gone wait."""
+        """Apply the rows in force, by host, path and tenant; samples without a row wait."""
         for work in self.work.values():
             step = work.step.step
             route = find(step.host, step.path, step.tenant)
@@ -171,13 +169,13 @@
             self._texts.keep(work.storage_name, work.text)
 
     def keep_progress(self, progress: SampleProgress) -> None:
-        """Take a text that an earlier leader left; the longest where several replicas have one."""
+        """Add a text that an earlier leader saved; the longest one if replicas differ."""
         self._texts.restore(progress)
 
-    # Runs
+    # Events of runs and scorers
 
     def run_event(self, run: int, number: int, data: str, version: int, now: float) -> bool:
-        """Take an event of a run; False where the run is to be dropped."""
+        """Process an event of a run; return False if the run must be dropped."""
         work = self.runs.get(run)
         if work is None or number != work.text.last_event + 1:
             return False
@@ -189,47 +187,47 @@
         self._note_gap(work, now)
         work.text.add(number, data, version, RunName(self.epoch, run))
         work.run_events += 1
-        work.last_heard = now
+        work.last_event_at = now
         return True
 
     def _note_gap(self, work: SampleWork, now: float) -> None:
-        """Take the time since a run's last event as a measure of its engine's pace.
+        """Record the time since a run's last event as a measurement of its engine's pace.
 
-        A gap that spans a pause of the reader is none: how much of it was the pause is known to
-        0.1 s, and after a pause a single gap weighs as much as all those before it.
+        A gap that spans a pause of the reader is skipped: the length of the pause is known to 0.1 s
+        only, and after a pause a single gap weighs as much as all those before it.
         """
         engine = self._engines.engines.get(work.engine)
         if engine is None or not work.run_events:
             return
-        if work.spans_pause:
-            work.spans_pause = False
+        if work.gap_spans_pause:
+            work.gap_spans_pause = False
             engine.skip_event_gap(now)
-        # No gap where a pause was counted for longer than it lasted since the last event.
-        elif now >= work.last_heard:
-            engine.note_event_gap(now - work.last_heard, now)
+        # Skipped if more pause was counted than time has passed since the last event.
+        elif now >= work.last_event_at:
+            engine.note_event_gap(now - work.last_event_at, now)
 
     def runs_checked(self, runs: list[int], now: float) -> None:
-        """Take that all events of these runs are known until now."""
-        self._table.checked(runs, now)
+        """Record that all events of these runs until now are known."""
+        self._table.note_checked(runs, now)
 
     def runs_stalled(self, runs: list[int], seconds: float, now: float) -> None:
-        """Take that who reads the streams of these runs stood still for so many seconds.
+        """Record a pause of the process that reads the streams of these runs.
 
-        Answers pauses of a runner, or of the leader: a pause of 0.4 s stood between two events, so
-        all its engines looked slow, and all its runs left them; 0.65 s made them look silent.
+        Without this, a pause of a runner or of the leader of 0.4 s between two events made all its
+        engines look slow, and all its runs were moved; 0.65 s made them look silent.
         """
-        self._table.stalled(runs, seconds, now)
+        self._table.note_stalled_runs(runs, seconds, now)
 
     def note_stall(self, now: float) -> None:
-        """Take that this daemon itself did nothing for a while: what it did not hear is its own."""
+        """Record a pause of this process, so that events missing since then do not count."""
         self._table.note_stall(now)
 
     def run_is_over(self, run: int) -> None:
-        """Take that no engine works on a cancelled run any more: its sample may begin elsewhere."""
+        """Record that no engine works on a cancelled run any more: its sample may be restarted."""
         self._table.is_over(run)
 
     def run_ended(self, run: int, end: RunEnd, now: float) -> SampleWork | None:
-        """Take the end of a run; None where it was cancelled before."""
+        """Process the end of a run; return None if it was cancelled before."""
         work = self._table.end(run, end, now)
         if work is None:
             return None
@@ -244,13 +242,13 @@
             work.left[work.engine] = now
         if end is RunEnd.FAILED:
             work.attempts_failed += 1
-        reason = why_after_run(end, work.attempts_failed, work.route.attempts)
+        reason = reason_after_run(end, work.attempts_failed, work.route.attempts)
         if reason is not None:
             self._give_up(work, reason)
         return work
 
     def scored(self, step: str, sample: str, end: ScoreEnd, score: str, attempts: int) -> None:
-        """Take a scorer's answer; after `attempts` failures the sample is given up."""
+        """Process a scorer's answer; after `attempts` failures the sample is given up."""
         work = self.work.get((step, sample))
         if work is None or work.stage is not Stage.SCORING:
             return
@@ -259,7 +257,7 @@
             return
         if end is ScoreEnd.FAILED:
             work.score_failures += 1
-        reason = why_after_scoring(end, work.score_failures, attempts)
+        reason = reason_after_scoring(end, work.score_failures, attempts)
         if reason is not None:
             self._give_up(work, reason)
         else:
@@ -274,50 +272,52 @@
             score=score,
         )
 
-    # Each tick
+    # Decisions of a tick
 
     def tick(self, now: float, wall_now: float) -> None:
         """Start what can start, move what is slow, give up what is too late."""
         self.placement.begin_tick()
         self._give_up_late(wall_now)
-        self._move_from_earlier_starts()
+        self._move_from_restarted_engines()
         self._move_slow(now)
-        # What moved left room, and what failed is paused.
+        # Moves have freed slots, and failed engines are paused.
         self.placement.begin_tick()
-        self._group_turns.look(self.work.values(), now, wall_now)
+        self._group_turns.update(self.work.values(), now, wall_now)
         self.has_more = False
-        if not self.begins_none:
+        if not self.may_not_start:
             self._start_in_order(sorted(self._waiting(), key=self._group_turns.order), now)
 
     def _waiting(self) -> list[SampleWork]:
-        """Return the samples that may begin now."""
+        """Return the samples that may start now."""
         waiting = [
             work
             for work in self.work.values()
-            if work.stage is Stage.WAITING and work.is_routed and not self._is_held(work.content)
+            if work.stage is Stage.WAITING
+            and work.is_routed
+            and not self._is_quarantined(work.content)
         ]
         ending = self._table.ending
         if ending:
-            # An engine may be at work on it until its runner says that it is not.
+            # An engine may be working on it until its runner confirms that it is not.
             waiting = [work for work in waiting if work.storage_name not in ending]
         return waiting
 
     def _start_in_order(self, waiting: list[SampleWork], now: float) -> None:
-        """Begin runs, as many as one tick may."""
+        """Start runs, up to the limit of a tick."""
         full: set[str] = set()
-        suspected = {work.service for work in self.runs.values() if self._is_run_alone(work)}
-        most_runs = len(self.runs) + STARTS_A_TICK
+        suspected = {work.service for work in self.runs.values() if self._runs_alone(work)}
+        most_runs = len(self.runs) + STARTS_PER_TICK
         for work in waiting:
             service = work.service
             if service in full:
                 continue
-            if self._is_run_alone(work):
-                # One that ends engines would take those beside it along to its bound of ends.
+            if self._runs_alone(work):
+                # A sample that crashes engines would add crashes to those beside it.
                 if service in suspected:
                     continue
                 suspected.add(service)
-            # A large step waits for few places: looking at each sample of it is in vain.
-            if not self.placement.view(service, now).with_room:
+            # With few free slots, checking each sample of a large step would be wasted.
+            if not self.placement.view(service, now).free_engines:
                 full.add(service)
                 continue
             if len(self.runs) >= most_runs:
@@ -325,10 +325,10 @@
                 return
             self._try_start(work, now)
 
-    def _is_run_alone(self, work: SampleWork) -> bool:
-        return self._ends(work.content) >= SERIAL_SAMPLE_CRASHES
+    def _runs_alone(self, work: SampleWork) -> bool:
+        return self._crash_count(work.content) >= SERIAL_SAMPLE_CRASHES
 
-    def is_under_way(self, offered: OfferedRun) -> bool:
+    def is_in_progress(self, offered: OfferedRun) -> bool:
         """Return whether an offered run is one of this term that has not ended here."""
         work = self.runs.get(offered.name.run)
         return (
@@ -338,41 +338,41 @@
         )
 
     def take_over(self, offered: OfferedRun, runner: str, now: float) -> bool:
-        """Go on with a run that an earlier leader began and that its runner still has.
+        """Continue a run that an earlier leader started and that its runner still has.
 
         Returns
         -------
         bool
-            False where the sample is wanted no more, runs elsewhere by now, or the text that is
-            known is not the one that the run continues.
+            False if the sample is no longer wanted, runs elsewhere by now, or the known text is not
+            the one that the run continues.
         """
         work = self._work_of(offered.sample)
         engine = self._engines.engines.get(offered.engine)
         if work is None or engine is None:
             return False
-        if self._why_not_continued(offered, work, engine, now) is not None:
+        if self._continue_refusal(offered, work, engine, now) is not None:
             return False
         self._out.append(self._table.begin(work, engine, now, runner, offered.name))
         if work.text.last_event > offered.after_event:
             work.text.made_by = RunName(self.epoch, work.run)
         return True
 
-    def why_not_taken_over(self, offered: OfferedRun, now: float) -> TakeOverRefusal | None:
-        """Return why an offered run does not go on, for the logs; None where it may."""
+    def refusal_to_take_over(self, offered: OfferedRun, now: float) -> TakeOverRefusal | None:
+        """Return why an offered run does not continue, for logs; None if it may."""
         work = self._work_of(offered.sample)
         if work is None:
             return TakeOverRefusal.UNKNOWN_SAMPLE
         engine = self._engines.engines.get(offered.engine)
         if engine is None:
             return TakeOverRefusal.UNKNOWN_ENGINE
-        return self._why_not_continued(offered, work, engine, now)
+        return self._continue_refusal(offered, work, engine, now)
 
     def _work_of(self, storage_name: str) -> SampleWork | None:
         return next(
             (each for each in self.work.values() if each.storage_name == storage_name), None
         )
 
-    def _why_not_continued(
+    def _continue_refusal(
         self, offered: OfferedRun, work: SampleWork, engine: Engine, now: float
     ) -> TakeOverRefusal | None:
         sample = OfferedSample(
@@ -382,48 +382,48 @@
             has_left=work.has_left(engine.identifier, now),
             last_event=work.text.last_event,
             made_by=work.text.made_by,
-            in_home=self._engines.places.allows_zone(engine.entry.zone, work.route.homes),
+            in_home=self._engines.topology.allows_zone(engine.entry.zone, work.route.homes),
         )
-        return why_not_taken_over(offered, sample)
+        return refusal_to_take_over(offered, sample)
 
     def _try_start(self, work: SampleWork, now: float) -> None:
         engine = self.placement.choose(work, now)
         if engine is not None:
             self._out.append(self._table.begin(work, engine, now))
 
-    def _move_from_earlier_starts(self) -> None:
-        """Move runs whose engine has started again: the later start knows nothing of them.
+    def _move_from_restarted_engines(self) -> None:
+        """Move runs whose engine has restarted: the later incarnation does not have them.
 
-        A run behind a cut would else be waited for until it counts as silent.
+        Otherwise a run behind a network partition would only move once it counts as silent.
         """
-        if self._engines.restarts == self._starts_seen:
+        if self._engines.restarts == self._restarts_seen:
             return
-        self._starts_seen = self._engines.restarts
+        self._restarts_seen = self._engines.restarts
         for work in list(self.runs.values()):
             if self._engines.has_restarted(work.engine):
                 self._stop_run(work, CancelReason.ENGINE_STARTED_AGAIN)
                 work.stage = Stage.WAITING
 
     def _move_slow(self, now: float) -> None:
-        """Move runs, the most urgent first; looked at now and then, since it costs all runs."""
+        """Move runs, the most urgent first; checked at intervals, since it examines all runs."""
         if now < self._next_look:
             return
-        self._next_look = now + LOOK_SECONDS
+        self._next_look = now + CHECK_SECONDS
         for work in sorted(self.runs.values(), key=lambda each: each.order):
-            reason = self._why_move(work, now) if may_move(work.moves) else None
+            reason = self._move_reason(work, now) if may_move(work.moves) else None
             if reason is not None:
                 work.moves += 1
                 work.left[work.engine] = now
                 self._stop_run(work, reason)
                 work.stage = Stage.WAITING
 
-    def _why_move(self, work: SampleWork, now: float) -> CancelReason | None:
-        """Return why a run moves now; a slow one has a place reserved elsewhere by then."""
+    def _move_reason(self, work: SampleWork, now: float) -> CancelReason | None:
+        """Return why a run moves now; for a slow one a slot elsewhere is reserved."""
         engine = self._engines.engines.get(work.engine)
         choice = choose_move(
             now,
             work.run_started,
-            (work.checked_at or now) - work.last_heard,
+            (work.checked_at or now) - work.last_event_at,
             engine.event_seconds if engine is not None else None,
             self.placement.view(work.service, now).pace,
         )
@@ -441,7 +441,7 @@
             if wall_now > work.late_at:
                 self._give_up(work, GiveUpReason.LATE)
 
-    # Ends
+    # Results and ends
 
     def _give_up(self, work: SampleWork, reason: GiveUpReason) -> None:
         self._stop_run(work, CancelReason.GIVEN_UP)
--- a/src/pondtiller/rollouts/scaling.py
+++ b/src/pondtiller/rollouts/scaling.py
@@ -1,11 +1,11 @@
-"""How many engines of a service are ordered in each zone. No I/O.
+"""Number of engines of a service to order in each zone. No I/O.
 
-A policy gets the engines as they are and the need (`engine_need`), and returns orders. An order
-names a number, so the same one twice is one. Three policies: leave the engines as they are, order
-by need, and order by need with engines that may be taken away, all of a zone at once.
+A policy gets the current engines and the need (`engine_need`), and returns orders. An order states
+an absolute number, so repeating it has no effect. There are three policies: leave the engines as
+they are, order by need, and order by need with spot engines, which a zone may lose all at once.
 
-Owns what was ordered last in each zone, for one term of a leader. Does not send orders, and does
-not say how large the need is.
+Holds the last order in each zone, for one term of a leader. Does not send orders, and does not
+compute the need.
 """
 
 import math
@@ -17,35 +17,35 @@
 from pondtiller.routes.table import Scaling
 
 MARGIN = 1.3
-"""Engines ordered against those that the need fills: of every 4 s an engine is without work for
-0.9 s while it changes its weights, which is 1.29."""
+"""Engines ordered, as a multiple of those that the need fills: in every 4 s an engine is idle for
+0.9 s while it changes its weights, which is a factor of 1.29."""
 RAISE_BELOW = 1.1
-"""Engines are added, up to the margin, only where there are fewer than this many times the need: a
-new engine costs its start and a load of each model, and comes cold."""
+"""Engines are added, up to the margin, only if there are fewer than this multiple of the need: a
+new engine costs its start and a load of each model, and is cold at first."""
 LOWER_BELOW = 0.85
-"""Engines are given back only where what stays is under this part of what is there: steps of one
-trainer differ by a tenth, and an engine that is ordered anew costs its start and its weights."""
+"""Engines are removed only if less than this part would remain: steps of one trainer differ by a
+tenth, and an engine that is ordered again costs its start and its weights."""
 SPARE_ENGINES = 1
-"""Lowering leaves so many more than the target, for a next step that is a little larger."""
+"""Engines kept beyond the target when removing some, for a slightly larger next step."""
 HOLD_SECONDS = 8.0
-"""No lowering so soon after any order: two steps of a trainer show what the order did."""
+"""No removal this soon after any order: two steps of a trainer show the effect of the order."""
 RAISE_AFTER_SECONDS = 3.0
-"""A shortage must last so long. Entries that lapse while the store is away come back within 2 s
-of its return."""
+"""How long a shortage must last. Entries that lapse while the store is away return within 2 s after
+it does."""
 SETTLE_SECONDS = 3.0
-"""After its start time an ordered engine has so long to write its entry before it counts as not
+"""Time after the start time in which an ordered engine must write its entry before it counts as not
 coming."""
-DRY_SECONDS = 5.0
-"""A zone that had none is asked again after this: each try is a call that is paid, and zones stay
-dry for some 10 s."""
-ZONE_MOST_SHARE = 0.5
-"""No zone gets more of the engines than this by price: the loss of one leaves half."""
-ZONE_LEAST_SHARE = 0.2
-"""No zone is emptied for its price below this part of an equal share of the target."""
+NO_CAPACITY_PAUSE_SECONDS = 5.0
+"""Pause after a zone had no capacity: each attempt is a priced call, and zones stay without
+capacity for some 10 s."""
+ZONE_MAX_SHARE = 0.5
+"""No zone gets a larger part of the engines because of its price: losing one leaves half."""
+ZONE_MIN_SHARE = 0.2
+"""No zone is reduced because of its price below this part of an equal share of the target."""
 
 
 class PolicyName(StrEnum):
-    """Which policy orders."""
+    """Policy for ordering engines."""
 
     LEAVE = "leave"
     NEED = "need"
@@ -53,12 +53,12 @@
 
 
 class ScaleOrder(NamedTuple):
-    """Order the number of engines of one kind in a zone.
+    """Order for the number of engines of one kind in a zone.
 
     Attributes
     ----------
     is_spot
-        Whether they may be taken away.
+        Whether they are spot engines.
     """
 
     service: str
@@ -68,14 +68,14 @@
 
 
 class ZoneEngines(NamedTuple):
-    """Engines of a service in one zone; those that leave are in none of the numbers.
+    """Engines of a service in one zone, without those that are leaving.
 
     Attributes
     ----------
     ready
-        Engines that stay until they are told to go.
+        On-demand engines.
     spot_ready
-        Engines that may be taken away.
+        Spot engines.
     """
 
     ready: int
@@ -83,7 +83,7 @@
 
 
 class LastScale(NamedTuple):
-    """The last order of a kind in a zone that was taken, or may have been."""
+    """The last order of a kind in a zone that was accepted, or may have been."""
 
     desired: int
     at: float
@@ -91,24 +91,24 @@
 
 @dataclass
 class ServiceScale:
-    """What a policy knows of one service.
+    """State of one service for a policy.
 
     Attributes
     ----------
     needed
-        Engines that the open steps fill, as a smoothed peak; None while unknown.
+        Engines that the open steps fill, as a smoothed peak; None if unknown.
     zones
         Engines by zone.
     evacuated
-        Zones whose engines get no work: they count for nothing and nothing is ordered there.
+        Zones whose engines get no work; they do not count and nothing is ordered there.
     last
         Orders by zone and kind.
-    dry_until
-        No order that raises before this time, by zone and kind.
+    no_capacity_until
+        No order that adds engines before this time, by zone and kind.
     short_since
         Since when there are too few engines; None while there are enough.
     changed_at
-        When an order was given last.
+        Time of the last order.
     """
 
     service: str
@@ -117,42 +117,42 @@
     zones: dict[str, ZoneEngines] = field(default_factory=dict)
     evacuated: frozenset[str] = frozenset()
     last: dict[tuple[str, bool], LastScale] = field(default_factory=dict)
-    dry_until: dict[tuple[str, bool], float] = field(default_factory=dict)
+    no_capacity_until: dict[tuple[str, bool], float] = field(default_factory=dict)
     short_since: float | None = None
     changed_at: float = -math.inf
 
-    def ordered(self, order: ScaleOrder, now: float) -> None:
-        """Take an order that was given, whatever became of it."""
+    def note_order(self, order: ScaleOrder, now: float) -> None:
+        """Record an order that was sent, whatever its outcome."""
         self.last[order.zone, order.is_spot] = LastScale(order.desired, now)
         self.changed_at = now
 
-    def refused(self, order: ScaleOrder, now: float) -> None:
-        """Take that a zone had none: the order counts for nothing."""
+    def note_no_capacity(self, order: ScaleOrder, now: float) -> None:
+        """Record that a zone has no capacity: the order does not count."""
         self.last.pop((order.zone, order.is_spot), None)
-        self.dry_until[order.zone, order.is_spot] = now + DRY_SECONDS
+        self.no_capacity_until[order.zone, order.is_spot] = now + NO_CAPACITY_PAUSE_SECONDS
 
-    def is_dry(self, zone: str, is_spot: bool, now: float) -> bool:
-        """Return whether a zone had none lately."""
-        return now < self.dry_until.get((zone, is_spot), -math.inf)
+    def has_no_capacity(self, zone: str, is_spot: bool, now: float) -> bool:
+        """Return whether a zone had no capacity recently."""
+        return now < self.no_capacity_until.get((zone, is_spot), -math.inf)
 
     def in_use(self) -> list[str]:
         """Return the zones that count, by name."""
         return sorted(zone for zone in self.zones if zone not in self.evacuated)
 
     def ready(self, zone: str, is_spot: bool) -> int:
-        """Return the engines that serve now."""
+        """Return the number of engines that serve now."""
         engines = self.zones[zone]
         return engines.spot_ready if is_spot else engines.ready
 
     def counted(self, zone: str, is_spot: bool, now: float) -> int:
-        """Return the engines that serve once a recent order is carried out."""
+        """Return the number of engines once a recent order has taken effect."""
         last = self.last.get((zone, is_spot))
         if last is not None and now < last.at + self.scaling.start_seconds + SETTLE_SECONDS:
             return last.desired
         return self.ready(zone, is_spot)
 
     def price(self, zone: str) -> float:
-        """Return what a second of an engine costs in a zone."""
+        """Return the price of an engine second in a zone."""
         return self.scaling.zone_prices.get(zone, 1.0)
 
 
@@ -163,7 +163,7 @@
         """Return the orders that are due."""
 
 
-class LeaveEngines:
+class KeepEngines:
     """Orders nothing: the engines stay as the operator started them."""
 
     def orders(self, state: ServiceScale, now: float) -> list[ScaleOrder]:
@@ -179,31 +179,31 @@
         if state.needed is None or not state.in_use():
             return []
         low = math.ceil(state.needed * RAISE_BELOW)
-        return order_steady(state, low, math.ceil(state.needed * MARGIN), now)
+        return order_on_demand(state, low, math.ceil(state.needed * MARGIN), now)
 
 
 class EnginesByNeedSpot:
-    """The same, most of them of the kind that may be taken away.
+    """Orders by need, with mostly spot engines.
 
-    Whichever zone loses all of its spot engines, the others and the steady ones meet the target.
+    Whichever zone loses all of its spot engines, the others and the on-demand ones meet the target.
     """
 
     def orders(self, state: ServiceScale, now: float) -> list[ScaleOrder]:
-        """Return the orders that are due: spot engines first, steady ones go once those serve."""
+        """Return the orders that are due; on-demand engines are removed once spot engines serve."""
         if state.needed is None or not state.in_use():
             return []
         target = math.ceil(state.needed * MARGIN)
         found = self._order_spot(state, target, now)
         serving = [state.ready(zone, True) for zone in state.in_use()]
         beside = sum(serving) - max(serving)
-        floor = steady_floor(state, target)
+        floor = on_demand_floor(state, target)
         low = max(floor, math.ceil(state.needed * RAISE_BELOW) - beside)
         wanted = {order.zone: order.desired for order in found}
-        return found + order_steady(state, low, max(floor, target - beside), now, wanted)
+        return found + order_on_demand(state, low, max(floor, target - beside), now, wanted)
 
     def _order_spot(self, state: ServiceScale, target: int, now: float) -> list[ScaleOrder]:
-        zones = [zone for zone in state.in_use() if not state.is_dry(zone, True, now)]
-        each = spot_each_zone(state, target, zones)
+        zones = [zone for zone in state.in_use() if not state.has_no_capacity(zone, True, now)]
+        each = spot_per_zone(state, target, zones)
         found = []
         for zone in zones:
             room = state.scaling.most - state.counted(zone, False, now)
@@ -216,49 +216,50 @@
 
 
 POLICIES: Mapping[PolicyName, ScalePolicy] = {
-    PolicyName.LEAVE: LeaveEngines(),
+    PolicyName.LEAVE: KeepEngines(),
     PolicyName.NEED: EnginesByNeed(),
     PolicyName.NEED_SPOT: EnginesByNeedSpot(),
 }
 
 
 def may_lower(state: ServiceScale, now: float) -> bool:
-    """Return whether the last order is long enough ago to lower."""
+    """Return whether the last order is long enough ago to remove engines."""
     return now >= state.changed_at + max(HOLD_SECONDS, state.scaling.start_seconds + SETTLE_SECONDS)
 
 
-def steady_floor(state: ServiceScale, target: int) -> int:
-    """Return the engines that stay steady whatever spot engines there are: a third, or the least.
+def on_demand_floor(state: ServiceScale, target: int) -> int:
+    """Return the on-demand engines to keep beside any spot engines: a third, or the minimum.
 
-    Two zones of spot engines may go within the time that new ones need to start.
+    Two zones may lose their spot engines within the time that new ones need to start.
     """
     return max(state.scaling.least * len(state.in_use()), math.ceil(target / 3), 1)
 
 
-def spot_each_zone(state: ServiceScale, target: int, zones: list[str]) -> int:
-    """Return the spot engines of each zone; 0 where they do not pay.
+def spot_per_zone(state: ServiceScale, target: int, zones: list[str]) -> int:
+    """Return the spot engines of each zone; 0 if they do not pay.
 
-    With one zone's gone, the others and the steady floor make the target.
+    If one zone loses its spot engines, the others and the on-demand floor make the target.
     """
     price = state.scaling.spot_price
-    floor = steady_floor(state, target)
+    floor = on_demand_floor(state, target)
     if not 0.0 < price < 1.0 or len(zones) < 2 or target <= floor:
         return 0
     each = math.ceil((target - floor) / (len(zones) - 1))
     return each if floor + price * each * len(zones) < target else 0
 
 
-def order_steady(
+def order_on_demand(
     state: ServiceScale, low: int, target: int, now: float, spot: Mapping[str, int] | None = None
 ) -> list[ScaleOrder]:
-    """Return what brings the steady engines to a target, with hysteresis; notes a shortage.
+    """Return orders that bring the on-demand engines to a target, with hysteresis; notes a
+    shortage.
 
     Parameters
     ----------
     low
         Fewer engines than this are a shortage.
     spot
-        Spot engines by zone that are about to be ordered: the limits hold for both kinds together.
+        Spot engines by zone that are about to be ordered: limits apply to both kinds together.
     """
     zones = state.in_use()
     counts = {zone: state.counted(zone, False, now) for zone in zones}
@@ -284,16 +285,16 @@
 def _add(
     state: ServiceScale, counts: dict[str, int], beside: dict[str, int], target: int, now: float
 ) -> None:
-    """Add engines where they are cheapest, up to what a zone may have."""
-    share = _most_of_zone(target)
+    """Add engines where they are cheapest, up to the limits of a zone."""
+    share = _max_of_zone(target)
     while sum(counts.values()) < target:
         open_zones = [
             zone
             for zone in counts
-            if not state.is_dry(zone, False, now)
+            if not state.has_no_capacity(zone, False, now)
             and counts[zone] + beside[zone] < state.scaling.most
         ]
-        # Beyond the share by price only where no other zone has any.
+        # The share may be exceeded only if no other zone has capacity.
         within = [zone for zone in open_zones if counts[zone] < share] or open_zones
         if not within:
             return
@@ -301,15 +302,15 @@
 
 
 def _remove(state: ServiceScale, counts: dict[str, int], target: int) -> None:
-    """Remove engines where they are dearest, down to what a zone must have."""
-    floor = max(state.scaling.least, math.ceil(ZONE_LEAST_SHARE * target / len(counts)))
+    """Remove engines where they are most expensive, down to the minimum of a zone."""
+    floor = max(state.scaling.least, math.ceil(ZONE_MIN_SHARE * target / len(counts)))
     while sum(counts.values()) > target:
         full = [zone for zone in counts if counts[zone] > floor]
         if not full:
             return
-        full = [zone for zone in full if counts[zone] > _most_of_zone(target)] or full
+        full = [zone for zone in full if counts[zone] > _max_of_zone(target)] or full
         counts[max(full, key=lambda zone: (state.price(zone), counts[zone], zone))] -= 1
 
 
-def _most_of_zone(target: int) -> int:
-    return max(1, math.ceil(ZONE_MOST_SHARE * target))
+def _max_of_zone(target: int) -> int:
+    return max(1, math.ceil(ZONE_MAX_SHARE * target))
--- a/src/pondtiller/rollouts/service_view.py
+++ b/src/pondtiller/rollouts/service_view.py
@@ -1,6 +1,6 @@
-"""A service as it is during one tick, so that it is worked out once and not for each sample.
+"""State of a service during one tick, computed once instead of for each sample.
 
-Owned by `placement.py`, which drops it at the next tick. Decides nothing.
+Held by `placement.py`, which discards it at the next tick.
 """
 
 from collections import Counter
@@ -13,48 +13,48 @@
 
 
 class SampleNeed(NamedTuple):
-    """What decides which engines suit a sample; samples with the same need share candidates.
+    """What determines which engines suit a sample; samples with the same need share candidates.
 
     Attributes
     ----------
     oldest_version
-        The oldest version that may make it.
-    stays_with
-        The version that a begun text must stay with; None where any may go on.
+        Oldest version that may make it.
+    required_version
+        Version with which a started text must continue; None for any.
     homes
-        Regions that it may be in; empty where any will do.
+        Regions that it may be in; empty for any.
     """
 
     service: str
     model: str
     oldest_version: int
-    stays_with: int | None
+    required_version: int | None
     homes: frozenset[str]
 
 
 @dataclass
 class ServiceView:
-    """A service as it is during one tick.
+    """State of a service during one tick.
 
     Attributes
     ----------
     usable
         Engines that may get new work.
-    with_room
+    free_engines
         Those of them that have a free slot and are not paused, by identifier; shrinks as samples
         start.
     pace
-        Usual time between two events of a stream, in seconds; 0 while unknown.
+        Usual time between two events of a stream, in seconds; 0 if unknown.
     candidates
-        Engines with room by what a sample needs.
+        Engines with free slots by what a sample needs.
     reserved
-        Places promised to runs that move here in this tick, by engine.
+        Slots reserved for runs that move here in this tick, by engine.
     by_pace
-        The engines with room, the fastest first; None until somebody asks.
+        Engines with free slots, fastest first; None until needed.
     """
 
     usable: list[Engine]
-    with_room: dict[str, Engine]
+    free_engines: dict[str, Engine]
     pace: float
     candidates: dict[SampleNeed, Candidates] = field(default_factory=dict)
     reserved: Counter[str] = field(default_factory=Counter)
@@ -63,4 +63,6 @@
 
 def sample_need(service: str, work: SampleWork) -> SampleNeed:
     """Return what a sample needs of an engine."""
-    return SampleNeed(service, work.model, work.oldest_version, work.stays_with, work.route.homes)
+    return SampleNeed(
+        service, work.model, work.oldest_version, work.required_version, work.route.homes
+    )
--- a/src/pondtiller/rollouts/step_keys.py
+++ b/src/pondtiller/rollouts/step_keys.py
@@ -1,6 +1,6 @@
-"""Keys under which steps stand in the log: `step/S`, `result/S/POSITION`, `end/S`. No I/O.
+"""Keys of steps in the log: `step/S`, `result/S/POSITION`, `end/S`. No I/O.
 
-Owns the form of the keys, which is stored data. Values are read by `steps.py`.
+Defines the form of the keys, which is stored data. Values are read by `steps.py`.
 """
 
 from collections.abc import Collection
@@ -9,7 +9,7 @@
 
 
 class StepKeyKind(StrEnum):
-    """What a key's value is."""
+    """Kind of a key's value."""
 
     STEP = "step"
     RESULT = "result"
@@ -29,9 +29,9 @@
     Attributes
     ----------
     text
-        The key as it stands in the log.
+        The key as it is in the log.
     position
-        Of a result; 0 otherwise.
+        Position of a result; 0 otherwise.
     """
 
     text: str
@@ -56,9 +56,9 @@
 
 
 def read_key(key: str) -> StepKey:
-    """Return what a key names; raises `ValueError` where it is no key of a step.
+    """Parse a key; raises `ValueError` if it is no key of a step.
 
-    A step's identifier may hold slashes; a position never does.
+    A step's identifier may contain slashes; a position never does.
     """
     name, _, rest = key.partition("/")
     kind = StepKeyKind(name)
@@ -74,7 +74,7 @@
 
 
 def keys_of_ended_steps(keys: Collection[str]) -> set[str]:
-    """Return the keys of steps that have ended, and of their results: nobody works on them."""
+    """Return the keys of steps that have ended and of their results, which are not needed soon."""
     ended = {key.removeprefix(END_PREFIX) for key in keys if key.startswith(END_PREFIX)}
     return {key for key in keys if _step_of(key) in ended}
 
--- a/src/pondtiller/rollouts/step_loads.py
+++ b/src/pondtiller/rollouts/step_loads.py
@@ -1,6 +1,6 @@
-"""What is left of open steps, counted by group from their samples. No I/O.
+"""Remaining work of open steps by group, counted from their samples. No I/O.
 
-Owns nothing: what `shedding.py` decides by is counted here from the scheduler's samples.
+These are the inputs of `shedding.py`, computed from the scheduler's samples.
 """
 
 from collections import Counter
@@ -11,7 +11,7 @@
 
 
 def step_loads(works: Iterable[SampleWork]) -> list[StepLoad]:
-    """Return the steps of these samples with the groups that are not whole."""
+    """Return the steps of these samples with the groups that are not complete."""
     by_step: dict[str, list[SampleWork]] = {}
     for work in works:
         by_step.setdefault(work.step_id, []).append(work)
--- a/src/pondtiller/rollouts/step_record.py
+++ b/src/pondtiller/rollouts/step_record.py
@@ -1,6 +1,6 @@
-"""One step of a trainer: its samples, and the results that it has so far. No I/O.
+"""One step of a trainer: its samples and its results so far. No I/O.
 
-Owns what is known of the step in the leader's memory; what lasts is in the log, from which
+Holds the leader's state of the step in memory; the durable state is in the log, from which
 `steps.py` restores it. Does not decide what is written.
 """
 
@@ -14,16 +14,16 @@
 
 
 class SampleHead(NamedTuple):
-    """What a leader needs of a sample.
+    """Properties of a sample that a leader needs.
 
     Attributes
     ----------
     group
-        Samples with the same prompt, of which a trainer waits for all.
+        Samples with the same prompt; a trainer waits for all of them.
     expected_tokens
-        How many tokens it is expected to make.
+        Number of tokens expected to be made.
     content
-        The encoded `Sample`; only who runs it reads it.
+        The encoded `Sample`, decoded only by its runner.
     """
 
     id: str
@@ -33,7 +33,7 @@
 
 
 def add_sample(step: Step, sample: Sample, expected_tokens: float) -> None:
-    """Put a sample into a step, as a row of its columns."""
+    """Add a sample to a step, as a row of its columns."""
     step.sample_ids.append(sample.id)
     step.groups.append(sample.group)
     step.expected_tokens.append(expected_tokens)
@@ -50,21 +50,21 @@
 class StepRecord:
     """One step.
 
-    What a new leader finds in the log is read when somebody asks for it, so that taking over
+    Values that a new leader finds in the log are read on demand, so that the duration of a takeover
     does not grow with the steps that have ended.
 
     Attributes
     ----------
     encoded
-        The step as it stands in the log; None until it is read.
+        The step as it is in the log; None until it is read.
     unread
         Positions whose results are in the log and not read yet.
     results
-        Results by position, written or on their way.
+        Results by position, written or being written.
     written
         Positions whose results are written.
     visible
-        Positions that readers may see, from 0.
+        Number of positions, from 0, that readers may see.
     listed
         Samples that have a position.
     next_position
@@ -84,7 +84,7 @@
 
     @property
     def is_read(self) -> bool:
-        """Whether all that the log holds of it is at hand."""
+        """Whether everything that the log holds of it is loaded."""
         return self.encoded is not None and not self.unread
 
     @cached_property
@@ -96,12 +96,12 @@
 
     @cached_property
     def samples(self) -> tuple[SampleHead, ...]:
-        """The samples in the order submitted."""
+        """Samples in the order of submission."""
         return tuple(sample_heads(self.step))
 
     @cached_property
     def group_sizes(self) -> Counter[str]:
-        """Samples of each group."""
+        """Number of samples of each group."""
         return Counter(head.group for head in self.samples)
 
     @property
@@ -115,7 +115,7 @@
         return self.visible >= self.total
 
     def sample(self, identifier: str) -> SampleHead | None:
-        """Return a sample by its identifier, or None where there is none."""
+        """Return a sample by its identifier, or None if there is none."""
         for head in self.samples:
             if head.id == identifier:
                 return head
@@ -128,7 +128,7 @@
         return self.next_position
 
     def note_written(self, position: int) -> None:
-        """Take that a result is written; readers are shown what is written without a gap."""
+        """Record that a result is written; readers see the written results up to the first gap."""
         self.written.add(position)
         while self.visible in self.written:
             self.visible += 1
--- a/src/pondtiller/rollouts/steps.py
+++ b/src/pondtiller/rollouts/steps.py
@@ -1,11 +1,11 @@
-"""The steps that the log holds: acceptance, results by position, ends. No I/O.
+"""Steps in the log: acceptance, results by position, ends. No I/O.
 
-What a step becomes is written to the step log before anyone is told. A result's position is
-final once it is written; readers see the positions up to the first that is not.
+Every change of a step is written to the step log before anyone is told of it. A result's position
+is final once it is written; readers see the positions up to the first unwritten one.
 
-Owns the steps of one leader's term (`step_record.py`) and the writes that they need; what lasts is
-in the log, under the keys of `step_keys.py`. Relies on its caller to write and to say what is on a
-quorum of disks. Does not run samples (`samples.py`).
+Holds the steps of one leader's term (`step_record.py`) and the writes that they need; the durable
+state is in the log, under the keys of `step_keys.py`. Relies on its caller to write and to report
+what is on a quorum of disks. Does not run samples (`samples.py`).
 """
 
 from collections.abc import Iterable
@@ -27,19 +27,18 @@
 from pondtiller.steplog.entry import Entry
 from pondtiller.wire.steplog import ResultsPage, SampleBody, SampleResult, Step
 
-LARGEST_PAGE_BYTES = 900_000
-"""Bytes of results on one page. Chosen, not measured: bounds what one read takes of a leader and a
-link; a page holds one result at least, however large, so a small figure costs reads and no
-result."""
+MAX_PAGE_BYTES = 900_000
+"""Upper bound of the results on one page, in bytes; limits what one read costs a leader and a link.
+A page holds at least one result, however large, so a small value costs reads but no results."""
 RESULT_OVERHEAD_BYTES = 100
-"""Bytes that a result takes on a page besides its own: names, numbers, separators. Chosen, not
-measured: keeps a page of many small results from growing beyond its bound."""
+"""Additional bytes of a result on a page: names, numbers, separators. Keeps a page of many small
+results from exceeding its bound."""
 
 
 class StepStatus(IntEnum):
-    """How a step call ended; the numbers are part of the protocol.
+    """Outcome of a call about a step; the numbers are part of the protocol.
 
-    UNKNOWN says that there is no such step or sample, UNAVAILABLE that nothing is known and
+    UNKNOWN means that there is no such step or sample, UNAVAILABLE that nothing is known and
     nothing was done, UNCERTAIN that it may have been done.
     """
 
@@ -56,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """A value that must go to the log."""
+    """A value that must be written to the log."""
 
     key: str
     value: bytes
@@ -76,17 +75,17 @@
         self._writes: list[Write] = []
 
     def take_writes(self) -> list[Write]:
-        """Return what must be written since the last call."""
+        """Return the writes since the last call."""
         taken, self._writes = self._writes, []
         return taken
 
     def restore(self, entries: Iterable[Entry], deferred: Iterable[str] = ()) -> list[str]:
-        """Take what the log holds; return the keys of results and ends without a step.
+        """Load the log's entries; return the keys of results and ends without a step.
 
         Parameters
         ----------
         deferred
-            Keys of ended steps and their results, whose values `load` takes later.
+            Keys of ended steps and their results, whose values are passed to `load` later.
         """
         later = [read_key(key) for key in sorted(deferred, key=restore_order)]
         for key in later:
@@ -96,7 +95,7 @@
         return unknown + [key.text for key in later if not self._restore_deferred(key)]
 
     def _restore_deferred(self, key: StepKey) -> bool:
-        """Take a key whose value is read later; False where its step is not known."""
+        """Add a key whose value is read later; return False if its step is unknown."""
         if key.kind is StepKeyKind.STEP:
             return True
         record = self.steps.get(key.step)
@@ -107,7 +106,7 @@
         return True
 
     def load(self, entries: Iterable[Entry]) -> None:
-        """Take values that were left for later."""
+        """Add values whose reading was deferred."""
         for entry in entries:
             key = read_key(entry.key)
             record = self.steps.get(key.step)
@@ -124,7 +123,7 @@
         return [entry.key for entry in ordered if not self._restore_entry(entry)]
 
     def _restore_entry(self, entry: Entry) -> bool:
-        """Take one entry; False where its step is not known."""
+        """Add one entry; return False if its step is unknown."""
         key = read_key(entry.key)
         if key.kind is StepKeyKind.STEP:
             self.steps[key.text.removeprefix(STEP_PREFIX)] = StepRecord(
@@ -144,7 +143,7 @@
         return True
 
     def open_samples(self) -> list[str]:
-        """Return the samples of open steps that are not listed, as their texts are kept."""
+        """Return the stored names of the samples of open steps that are not listed."""
         return [
             owned_name(record.step.tenant, sample.id)
             for record in self.steps.values()
@@ -154,7 +153,7 @@
         ]
 
     def open(self, step: Step) -> StepRecord:
-        """Take a step, once; its acceptance is on its way to the log."""
+        """Add a step, once, and queue the write of its acceptance."""
         record = self.steps.get(step.id)
         if record is None:
             encoded = bytes(step)
@@ -165,7 +164,7 @@
         return record
 
     def list_result(self, step: str, result: SampleResult) -> bool:
-        """Give a sample's result the next position; False where it has one or cannot have one."""
+        """Assign the next position to a sample's result; False if it has one or cannot have one."""
         record = self.steps.get(step)
         if record is None or record.is_ended or result.id in record.listed:
             return False
@@ -176,7 +175,7 @@
         return True
 
     def end(self, step: str) -> StepRecord | None:
-        """End a step; None where it is not known."""
+        """End a step; return None if it is unknown."""
         record = self.steps.get(step)
         if record is not None and not record.is_ended:
             record.is_ended = True
@@ -184,7 +183,7 @@
         return record
 
     def committed(self, key: str) -> str:
-        """Take a write that is on a quorum of disks; return the step's identifier."""
+        """Handle a write that is on a quorum of disks; return the step's identifier."""
         written = read_key(key)
         record = self.steps.get(written.step)
         if record is None:
@@ -198,7 +197,7 @@
         return written.step
 
     def read(self, step: str, position: int) -> ResultsPage:
-        """Return the results at `position` and on, about 1 MB at most."""
+        """Return the results from `position` on, about 1 MB at most."""
         record = self.steps.get(step)
         if record is None or not record.is_accepted or not record.is_read:
             status = StepStatus.UNKNOWN if record is None else StepStatus.UNAVAILABLE
@@ -208,7 +207,7 @@
         for place in range(position, record.visible):
             encoded = record.results[place]
             size += result_size(encoded)
-            if found and size > LARGEST_PAGE_BYTES:
+            if found and size > MAX_PAGE_BYTES:
                 break
             found.append(encoded)
         return ResultsPage(
@@ -219,7 +218,7 @@
         )
 
     def sample_body(self, step: str, sample: str) -> SampleBody:
-        """Return a sample of a step that is known, for the reader of its body."""
+        """Return the body of a sample of a known step."""
         record = self.steps.get(step)
         if record is not None and not (record.is_accepted and record.is_read):
             return SampleBody(status=StepStatus.UNAVAILABLE)
@@ -229,7 +228,7 @@
         return SampleBody(status=StepStatus.OK, content=found.content)
 
     def expired(self, wall_now: float, keep_seconds: float) -> list[str]:
-        """Return the steps that are closed and older than they must be kept."""
+        """Return the closed steps that are older than they must be kept."""
         return [
             identifier
             for identifier, record in self.steps.items()
--- a/src/pondtiller/rollouts/taking_over.py
+++ b/src/pondtiller/rollouts/taking_over.py
@@ -1,7 +1,7 @@
-"""Whether a run of an earlier leader goes on under this one. No I/O.
+"""Whether a run of an earlier leader continues under this one. No I/O.
 
-Owns nothing. A run that its runner kept is taken over where its sample waits and the text that is
-known is the one that the run continues; else the sample is begun anew, and the runner ends its run
+A run that its runner kept is taken over if its sample waits and the known text is the one that the
+run continues. Otherwise the sample is started again, and the runner ends its run
 (`run_holding.py`).
 """
 
@@ -12,7 +12,7 @@
 
 
 class TakeOverRefusal(StrEnum):
-    """Why an offered run does not go on."""
+    """Why an offered run does not continue."""
 
     UNKNOWN_SAMPLE = "unknown_sample"
     UNKNOWN_ENGINE = "unknown_engine"
@@ -25,7 +25,7 @@
 
 
 class OfferedSample(NamedTuple):
-    """What is known of the sample of an offered run.
+    """State of the sample of an offered run.
 
     Attributes
     ----------
@@ -34,9 +34,9 @@
     is_ending
         Whether a cancelled run of it may still be at an engine.
     has_left
-        Whether a run of it left that engine just now.
+        Whether a run of it left that engine recently.
     last_event, made_by
-        Of the text that is known: its last event, and the run that made it.
+        Last event of the known text, and the run that made it.
     in_home
         Whether its row's homes allow the engine's zone.
     """
@@ -50,8 +50,8 @@
     in_home: bool
 
 
-def why_not_taken_over(offered: OfferedRun, sample: OfferedSample) -> TakeOverRefusal | None:
-    """Return why an offered run does not go on; None where it does."""
+def refusal_to_take_over(offered: OfferedRun, sample: OfferedSample) -> TakeOverRefusal | None:
+    """Return why an offered run does not continue; None if it does."""
     if sample.stage is not Stage.WAITING:
         return TakeOverRefusal.NOT_WAITING
     if not sample.is_routed:
@@ -66,9 +66,9 @@
 
 
 def _continues(offered: OfferedRun, sample: OfferedSample) -> bool:
-    """Return whether no event of another run stands before those of the offered one.
+    """Return whether the known text has no event of another run before those of the offered one.
 
-    A text that was saved before the run was taken over bears an earlier name of the run.
+    A text that was saved before the run was taken over has an earlier name of the run.
     """
     if sample.last_event < offered.after_event:
         return False
--- a/src/pondtiller/rollouts/tests/scheduling.py
+++ b/src/pondtiller/rollouts/tests/scheduling.py
@@ -1,4 +1,4 @@
-"""What tests of the scheduler share: a route, entries of engines, and a scheduler with a step."""
+"""Shared parts of scheduler tests: a route, engine entries, and a scheduler with a step."""
 
 from pondtiller.address import Address
 from pondtiller.rollouts.samples import SampleScheduler
@@ -43,7 +43,7 @@
         accepted_at: float = 0.0,
         names: str = "",
     ) -> StepRecord:
-        """Open a step whose samples are named after it, or as those of another one."""
+        """Open a step whose samples are named after it, or like those of another one."""
         samples = [
             Sample(id=f"{names or step}-{group}-{number}", group=f"g{group}")
             for group in range(groups)
@@ -64,4 +64,4 @@
 
     def tick(self, now: float, wall: float = 0.0) -> list[object]:
         self.scheduler.tick(now, wall)
-        return list(self.scheduler.take())
+        return list(self.scheduler.pop_instructions())
--- a/src/pondtiller/rollouts/tests/test_candidates.py
+++ b/src/pondtiller/rollouts/tests/test_candidates.py
@@ -1,4 +1,4 @@
-"""Few of many engines are compared for a sample, and none better is left out."""
+"""Few of many engines are compared for a sample, and no better one is left out."""
 
 import random
 
@@ -22,10 +22,10 @@
 
 
 def place(candidates: Candidates) -> Engine:
-    """Put a sample on the engine that is filled least of those compared."""
+    """Put a sample on the least filled of the compared engines."""
     chosen = min(candidates.compared.values(), key=filling)
     chosen.running += 1
-    candidates.filled(chosen, chosen.running >= SLOTS)
+    candidates.note_start(chosen, chosen.running >= SLOTS)
     return chosen
 
 
@@ -45,7 +45,7 @@
         assert place(candidates).running == emptiest + 1
 
 
-def test_every_place_is_found_and_none_twice() -> None:
+def test_every_slot_is_found_and_none_twice() -> None:
     fleet = engines(100)
     candidates = Candidates(fleet, filling)
     for _ in range(100 * SLOTS):
--- a/src/pondtiller/rollouts/tests/test_catching_up.py
+++ b/src/pondtiller/rollouts/tests/test_catching_up.py
@@ -1,4 +1,4 @@
-"""Trainers behind after a pause: several steps, fewer places than samples, engines with weights."""
+"""Steps that are late after a pause: fewer slots than samples, engines with weights."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 ENGINES = 4
 SLOTS = 4
 VERSION = 7
-"""Of the weights that the engines kept through the pause."""
+"""Version of the weights that the engines kept through the pause."""
 TOKENS_SECONDS = 0.01
 SHORT_TOKENS = 40.0
 LONG_TOKENS = 400.0
@@ -22,7 +22,7 @@
 
 
 class Pause:
-    """Three trainers whose steps wait when a leader is there again; engines run at one pace."""
+    """Three trainers whose steps wait when a leader returns; engines run at one pace."""
 
     def __init__(self) -> None:
         self.directory = EngineDirectory()
@@ -44,9 +44,9 @@
         now = 100.0
         end = now + seconds
         while now < end:
-            self.scheduler.note_stall(now)  # All runs are heard of.
+            self.scheduler.note_stall(now)  # No run counts as silent.
             self.scheduler.tick(now, now)
-            for each in self.scheduler.take():
+            for each in self.scheduler.pop_instructions():
                 if isinstance(each, StartRun):
                     work = self.scheduler.runs[each.run]
                     self._ends[each.run] = (now + work.cost * TOKENS_SECONDS, work.step_id)
@@ -79,7 +79,7 @@
 def test_oldest_step_strictly_first_makes_younger_steps_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the head start is for: the same load without it."""
+    """Shows the purpose of the head start: the same load without it."""
     with_it = catch_up().whole_at
     monkeypatch.setattr(start_order, "LONG_HEAD_START_SECONDS", 0.0)
     without = catch_up().whole_at
@@ -87,7 +87,7 @@
     assert with_it["first"] < without["first"] + 1.0
 
 
-def test_a_step_much_older_keeps_its_places() -> None:
+def test_a_much_older_step_keeps_its_slots() -> None:
     pause = Pause()
     pause.open("old", 90.0, VERSION)
     for number in range(6):
--- a/src/pondtiller/rollouts/tests/test_engine_need.py
+++ b/src/pondtiller/rollouts/tests/test_engine_need.py
@@ -1,16 +1,16 @@
-"""How many places open steps need: by their size, the pace and the time left; as a peak."""
+"""Slots that open steps need: by their size, the pace and the time left; as a peak."""
 
 import pytest
 
 from pondtiller.rollouts.engine_need import (
-    LEAST_RUNS,
-    PACE_RUNS,
+    MIN_RUNS,
+    MIN_SECONDS,
+    PACE_HALVING_RUNS,
     PEAK_SECONDS,
-    SHORTEST_SECONDS,
     TARGET_SHARE,
     EngineNeed,
-    PaceOfWork,
-    places_needed,
+    WorkPace,
+    slots_needed,
 )
 from pondtiller.rollouts.sample_work import SampleWork, Stage
 from pondtiller.rollouts.step_record import add_sample
@@ -30,53 +30,53 @@
     return [SampleWork(record, ROUTE, sample, tokens) for sample in record.samples]
 
 
-def known_pace() -> PaceOfWork:
-    pace = PaceOfWork()
-    for _ in range(LEAST_RUNS):
+def known_pace() -> WorkPace:
+    pace = WorkPace()
+    for _ in range(MIN_RUNS):
         pace.note_run(100.0, 1.0)
     return pace
 
 
 def test_the_pace_is_believed_after_enough_runs_and_follows_a_change() -> None:
-    pace = PaceOfWork()
-    for _ in range(LEAST_RUNS - 1):
+    pace = WorkPace()
+    for _ in range(MIN_RUNS - 1):
         pace.note_run(100.0, 1.0)
     assert pace.seconds_per_token is None
     pace.note_run(100.0, 1.0)
     assert pace.seconds_per_token == pytest.approx(0.01)
-    for _ in range(6 * PACE_RUNS):
+    for _ in range(6 * PACE_HALVING_RUNS):
         pace.note_run(100.0, 1.0)
-    for _ in range(6 * PACE_RUNS):
+    for _ in range(6 * PACE_HALVING_RUNS):
         pace.note_run(100.0, 3.0)
     assert pace.seconds_per_token == pytest.approx(0.03, rel=0.05)
 
 
 def test_a_fresh_step_needs_its_work_over_the_time_it_should_take() -> None:
-    assert places_needed(works(60), 0.01, 0.0, 0.0) == pytest.approx(60 / TIME)
+    assert slots_needed(works(60), 0.01, 0.0, 0.0) == pytest.approx(60 / TIME)
 
 
-def test_a_late_step_needs_more_but_never_more_places_than_samples() -> None:
-    assert places_needed(works(60), 0.02, 9.0, 9.0) == 60
-    assert places_needed(works(60), 0.005, 9.0, 9.0) == pytest.approx(30 / SHORTEST_SECONDS)
+def test_a_late_step_needs_more_but_never_more_slots_than_samples() -> None:
+    assert slots_needed(works(60), 0.02, 9.0, 9.0) == 60
+    assert slots_needed(works(60), 0.005, 9.0, 9.0) == pytest.approx(30 / MIN_SECONDS)
 
 
-def test_what_is_made_already_needs_less_and_finished_samples_nothing() -> None:
+def test_partial_samples_need_less_and_finished_samples_nothing() -> None:
     open_works = works(3)
     open_works[0].stage = Stage.RUNNING
     open_works[0].run_started = 0.0
     open_works[1].stage = Stage.SCORING
-    assert places_needed(open_works, 0.01, 0.4, 0.0) == pytest.approx(1.6 / TIME)
+    assert slots_needed(open_works, 0.01, 0.4, 0.0) == pytest.approx(1.6 / TIME)
 
 
 def test_the_need_is_the_peak_of_the_last_seconds_and_unknown_before() -> None:
     need = EngineNeed(known_pace())
     now = 0.0
     while now < PEAK_SECONDS:
-        assert need.peak_places(now) is None
-        need.look(works(60, accepted_at=now) if now == 6.0 else [], now, now)
+        assert need.peak_slots(now) is None
+        need.update(works(60, accepted_at=now) if now == 6.0 else [], now, now)
         now += 0.5
-    assert need.peak_places(now) == pytest.approx(60 / TIME)
+    assert need.peak_slots(now) == pytest.approx(60 / TIME)
     while now < 6.0 + PEAK_SECONDS + 1.0:
-        need.look([], now, now)
+        need.update([], now, now)
         now += 0.5
-    assert need.peak_places(now) == 0.0
+    assert need.peak_slots(now) == 0.0
--- a/src/pondtiller/rollouts/tests/test_giving_up.py
+++ b/src/pondtiller/rollouts/tests/test_giving_up.py
@@ -4,8 +4,8 @@
 
 from pondtiller.rollouts.giving_up import (
     QUEUE_MARGIN_SECONDS,
-    why_after_run,
-    why_after_scoring,
+    reason_after_run,
+    reason_after_scoring,
 )
 from pondtiller.rollouts.sample_work import GiveUpReason, ListResult, RunEnd, ScoreEnd
 from pondtiller.rollouts.tests.scheduling import ROUTE, Bench
@@ -26,13 +26,13 @@
 @pytest.mark.parametrize("end", list(RunEnd))
 def test_only_answers_of_engines_end_a_sample(end: RunEnd) -> None:
     is_impossible = end is RunEnd.IMPOSSIBLE
-    assert why_after_run(end, 2, 3) is (GiveUpReason.IMPOSSIBLE if is_impossible else None)
+    assert reason_after_run(end, 2, 3) is (GiveUpReason.IMPOSSIBLE if is_impossible else None)
     if not is_impossible:
-        assert why_after_run(end, 3, 3) is GiveUpReason.RUNS_FAILED
+        assert reason_after_run(end, 3, 3) is GiveUpReason.RUNS_FAILED
 
 
 @pytest.mark.parametrize("end", list(ScoreEnd))
 def test_only_a_scorers_failure_ends_a_sample(end: ScoreEnd) -> None:
     expected = GiveUpReason.SCORER_FAILED if end is ScoreEnd.FAILED else None
-    assert why_after_scoring(end, 1, 1) is expected
-    assert why_after_scoring(end, 0, 1) is None
+    assert reason_after_scoring(end, 1, 1) is expected
+    assert reason_after_scoring(end, 0, 1) is None
--- a/src/pondtiller/rollouts/tests/test_moving.py
+++ b/src/pondtiller/rollouts/tests/test_moving.py
@@ -1,7 +1,7 @@
-"""When a run leaves its engine: each reason at its bound."""
+"""When a run is moved from its engine: each reason at its bound."""
 
 from pondtiller.rollouts.moving import (
-    MOST_MOVES,
+    MAX_MOVES,
     SILENT,
     SILENT_GAPS,
     SILENT_SECONDS,
@@ -35,7 +35,7 @@
         assert _after(2.0, 1.0, engine_pace, usual_pace) is SILENT
 
 
-def test_a_young_run_tells_no_pace_and_an_older_one_names_what_is_worth_a_move() -> None:
+def test_a_young_run_does_not_move_and_an_older_one_moves_if_it_pays() -> None:
     assert _after(SLOW_AFTER_SECONDS - 0.01, 0.0, PACE, PACE) is STAYS
     aged = _after(SLOW_AFTER_SECONDS, 0.0, PACE, PACE)
     assert (aged.reason, round(aged.factor, 3)) == (CancelReason.SLOW, 1.625)
@@ -48,5 +48,5 @@
 
 
 def test_a_sample_is_moved_at_most_so_often() -> None:
-    assert may_move(MOST_MOVES - 1)
-    assert not may_move(MOST_MOVES)
+    assert may_move(MAX_MOVES - 1)
+    assert not may_move(MAX_MOVES)
--- a/src/pondtiller/rollouts/tests/test_placement.py
+++ b/src/pondtiller/rollouts/tests/test_placement.py
@@ -12,7 +12,7 @@
 
 
 def shares(samples: int, places: Topology = PLACES) -> dict[str, int]:
-    """Return how many samples run on each of three engines of eight places; a leader in s1."""
+    """Return how many samples run on each of three engines with eight slots; a leader in s1."""
     directory = EngineDirectory(places)
     directory.replace_entries([entry(zone, slots=8, zone=zone) for zone in ("n1", "s1", "s2")], 0.0)
     scheduler = SampleScheduler(directory, lambda _engine, _model: False, "s1")
@@ -24,7 +24,7 @@
     return {name: engine.running for name, engine in directory.engines.items()}
 
 
-def test_near_engines_get_a_quarter_of_their_places_more_than_those_of_another_region() -> None:
+def test_near_engines_get_a_quarter_of_their_slots_more_than_those_of_another_region() -> None:
     assert shares(4) == {"n1": 0, "s1": 2, "s2": 2}
     assert shares(12) == {"n1": 3, "s1": 5, "s2": 4} or shares(12) == {"n1": 2, "s1": 5, "s2": 5}
 
--- a/src/pondtiller/rollouts/tests/test_samples.py
+++ b/src/pondtiller/rollouts/tests/test_samples.py
@@ -16,7 +16,7 @@
     ScoreText,
     StartRun,
 )
-from pondtiller.rollouts.samples import STARTS_A_TICK, SampleScheduler
+from pondtiller.rollouts.samples import STARTS_PER_TICK, SampleScheduler
 from pondtiller.rollouts.tests.scheduling import ROUTE, Bench, entry
 from pondtiller.routes.cold import ColdBound, ColdEngines
 from pondtiller.routes.engines import Engine, EngineState
@@ -38,14 +38,14 @@
 
 
 def test_longest_samples_come_first_whatever_their_group() -> None:
-    """A group that is put off comes again, and is waited for then."""
+    """A deferred group is submitted again, and is waited for then."""
     bench = Bench(engines=1)
     bench.open(groups=3, size=2, desired=2)
     begun = starts(bench.tick(0.0))
     assert [run.sample.id for run in begun] == ["s-2-1", "s-2-0"]
 
 
-def test_an_older_step_comes_first_whichever_is_told_first() -> None:
+def test_an_older_step_comes_first_in_whichever_order_they_arrive() -> None:
     """A new leader finds the steps in the log in no order."""
     bench = Bench(engines=1)
     bench.open(step="late", accepted_at=8.0)
@@ -54,7 +54,7 @@
     assert {run.sample.id for run in begun} == {"early-0-0", "early-0-1"}
 
 
-def test_a_broken_run_goes_on_after_its_last_event_elsewhere() -> None:
+def test_a_broken_run_continues_after_its_last_event_elsewhere() -> None:
     bench = Bench(engines=2)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -65,17 +65,17 @@
     assert (again.last_event, again.engine != run.engine) == (2, True)
     assert bench.scheduler.run_event(again.run, 3, "c", 2, 0.4)
     bench.scheduler.run_ended(again.run, RunEnd.WHOLE, 0.5)
-    assert [type(each) for each in bench.scheduler.take()] == [ScoreText]
+    assert [type(each) for each in bench.scheduler.pop_instructions()] == [ScoreText]
     bench.scheduler.scored("s", "s-0-0", ScoreEnd.SCORED, "sig", 4)
-    (listed,) = bench.scheduler.take()
+    (listed,) = bench.scheduler.pop_instructions()
     assert isinstance(listed, ListResult)
     assert (listed.result.text, listed.result.versions) == ("a\nb\nc", [1, 2])
 
 
-def test_a_large_step_costs_a_tick_the_places_that_there_are(
+def test_a_large_step_costs_a_tick_only_the_free_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """400 samples come at once for 4 places: the others are not looked at in vain each tick."""
+    """With 400 samples for 4 slots, the others are not examined needlessly in each tick."""
     bench = Bench(engines=2)
     looks: list[str] = []
     choose = bench.scheduler.placement.choose
@@ -95,17 +95,17 @@
     assert len(looks) == 5
 
 
-def test_many_free_places_are_filled_in_slices_in_the_same_order() -> None:
-    """A step of 240 samples and 300 free places: no tick begins more than it may."""
+def test_many_free_slots_are_filled_in_slices_in_the_same_order() -> None:
+    """A step of 240 samples and 300 free slots: no tick starts more than it may."""
     bench = Bench(engines=150)
     bench.open(groups=24, size=10)
     begun: list[str] = []
-    for tick, most in enumerate((STARTS_A_TICK, STARTS_A_TICK, 40, 0)):
+    for tick, most in enumerate((STARTS_PER_TICK, STARTS_PER_TICK, 40, 0)):
         runs = starts(bench.tick(tick * 0.1))
         assert len(runs) == most
         assert bench.scheduler.has_more is (len(begun) + most < 240)
         begun += [each.sample.id for each in runs]
-    # Samples that take longest come first in a step; these have their place as their tokens.
+    # The longest samples of a step come first; here their number of tokens is their position.
     assert begun == [f"s-{place // 10}-{place % 10}" for place in reversed(range(240))]
 
 
@@ -155,7 +155,7 @@
     bench.scheduler.run_event(run.run, 1, "a", 1, 0.5)
     instructions = bench.tick(0.6)
     assert CancelRun(run.run, "s-0-0", run.engine, CancelReason.SLOW) in instructions
-    # The engine that it leaves may be at work on it until its runner says that it is not.
+    # The engine that it leaves may be working on it until its runner says that it is not.
     assert starts(instructions) == starts(bench.tick(0.7)) == []
     bench.scheduler.run_is_over(run.run)
     (moved,) = starts(bench.tick(0.7))
@@ -165,7 +165,7 @@
 def test_samples_under_which_engines_ended_are_run_one_at_a_time() -> None:
     bench = Bench(engines=3)
     ends: dict[str, int] = {}
-    bench.scheduler._ends = lambda content: ends.get(content, 0)
+    bench.scheduler._crash_count = lambda content: ends.get(content, 0)
     bench.open(groups=1, size=4)
     works = list(bench.scheduler.work.values())
     for work in works[:3]:
@@ -178,7 +178,7 @@
     assert len(starts(bench.tick(0.3))) == 1
 
 
-def test_a_moved_sample_begins_elsewhere_once_its_runner_is_lost() -> None:
+def test_a_moved_sample_starts_elsewhere_once_its_runner_is_lost() -> None:
     bench = Bench(engines=3)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -189,7 +189,7 @@
     assert moved.engine != run.engine
 
 
-def test_a_sample_that_comes_again_waits_for_the_end_of_its_run_in_an_earlier_step() -> None:
+def test_a_resubmitted_sample_waits_for_the_end_of_its_run_in_an_earlier_step() -> None:
     bench = Bench(engines=2)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -214,7 +214,7 @@
 
 
 def slow_engine_bench(runs: int) -> tuple[Bench, list[StartRun]]:
-    """Return a bench whose first engine is full of slow runs, beside one with few places."""
+    """Return a bench whose first engine is full of slow runs, beside one with few slots."""
     bench = Bench(engines=0)
     bench.directory.replace_entries([entry("e0", slots=runs)], 0.0)
     bench.open(size=runs)
@@ -227,8 +227,8 @@
     return bench, begun
 
 
-def test_no_more_runs_leave_a_slow_engine_than_find_a_place_elsewhere() -> None:
-    """Twelve runs left at once for two places, and ten came back to the slow engine."""
+def test_no_more_runs_leave_a_slow_engine_than_find_a_slot_elsewhere() -> None:
+    """Guards against twelve runs moving to two slots, ten of which return to the slow engine."""
     bench, _ = slow_engine_bench(runs=8)
     instructions = bench.tick(0.6)
     cancelled = [each for each in instructions if isinstance(each, CancelRun)]
@@ -239,20 +239,23 @@
 
 
 def test_runs_are_looked_at_now_and_then_and_not_at_each_event() -> None:
-    """On 22 engines with 260 runs a leader did nothing else, and no sample was ever listed."""
+    """With 22 engines and 260 runs a leader did nothing else, and no sample was ever listed."""
     bench = Bench(engines=4)
     bench.open(size=6)
     bench.tick(0.0)
     looked: list[str] = []
-    why = bench.scheduler._why_move
-    bench.scheduler._why_move = lambda work, now: (looked.append(work.sample_id), why(work, now))[1]  # type: ignore[method-assign]
+    why = bench.scheduler._move_reason
+    bench.scheduler._move_reason = lambda work, now: (
+        looked.append(work.sample_id),
+        why(work, now),
+    )[1]  # type: ignore[method-assign]
     for number in range(1, 100):
         bench.tick(0.2 + number * 0.001)
     assert len(looked) == 6
 
 
 def test_a_long_run_goes_to_a_faster_engine_and_a_young_one_stays() -> None:
-    """Engines of one service differ by a third: a tail of seconds gains, a short rest does not."""
+    """Engines of one service differ by a third: only a run with much left to make gains."""
     for began_before, moves in ((0.5, 0), (2.0, 1)):
         bench = Bench(engines=2)
         bench.open(size=1)
@@ -265,7 +268,7 @@
 
 
 def test_an_engine_whose_pace_is_not_known_is_no_faster_one() -> None:
-    """An engine that had just loaded weights drew all long runs of the others."""
+    """An engine that had just loaded weights attracted all long runs of the others."""
     bench = Bench(engines=3)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -285,7 +288,7 @@
 
 
 def test_a_short_pause_of_all_engines_moves_nothing() -> None:
-    """A daemon that pauses for a tenth of a second took all its engines for slow."""
+    """A daemon that paused for a tenth of a second considered all its engines slow."""
     bench = Bench(engines=3)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -305,8 +308,8 @@
 
 
 @pytest.mark.parametrize("is_told", [True, False])
-def test_a_standstill_of_a_runner_is_no_gap_between_events(is_told: bool) -> None:
-    """Its engine looked slow by it, and the run left for another one."""
+def test_a_pause_of_a_runner_is_no_gap_between_events(is_told: bool) -> None:
+    """Otherwise its engine looks slow, and the run is moved to another one."""
     bench = Bench(engines=2)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -328,7 +331,7 @@
 
 @pytest.mark.parametrize("counted_seconds", [0.3, 0.6])
 def test_a_pause_that_is_counted_in_part_moves_no_run(counted_seconds: float) -> None:
-    """Guards against runs that leave their engine for one whose events were read earlier."""
+    """Guards against runs moved to an engine whose events were merely read earlier."""
     bench = Bench(engines=2)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -337,7 +340,7 @@
     for number in range(1, 11):
         bench.scheduler.run_event(run.run, number, "a", 1, 0.5 + 0.05 * number)
     bench.scheduler.runs_stalled([run.run], counted_seconds, 1.75)
-    # What waited is read at once, then events come as before.
+    # Waiting events are read at once, then they arrive as before.
     for number in range(11, 16):
         bench.scheduler.run_event(run.run, number, "a", 1, 1.75)
     for number in range(16, 20):
@@ -347,7 +350,7 @@
     assert bench.tick(1.96) == []
 
 
-def test_a_standstill_that_runner_and_leader_both_tell_is_no_gap_of_less_than_nothing() -> None:
+def test_a_pause_reported_by_runner_and_leader_makes_no_negative_gap() -> None:
     bench = Bench(engines=2)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -380,12 +383,12 @@
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
     bench.scheduler.run_ended(run.run, RunEnd.WHOLE, 0.1)
-    bench.scheduler.take()
+    bench.scheduler.pop_instructions()
     bench.scheduler.scored("s", "s-0-0", ScoreEnd.LOST, "", 2)
     bench.scheduler.scored("s", "s-0-0", ScoreEnd.FAILED, "", 2)
-    assert [type(each) for each in bench.scheduler.take()] == [ScoreText, ScoreText]
+    assert [type(each) for each in bench.scheduler.pop_instructions()] == [ScoreText, ScoreText]
     bench.scheduler.scored("s", "s-0-0", ScoreEnd.FAILED, "", 2)
-    (listed,) = bench.scheduler.take()
+    (listed,) = bench.scheduler.pop_instructions()
     assert isinstance(listed, ListResult) and not listed.result.succeeded
 
 
@@ -404,14 +407,14 @@
     bench.scheduler.run_event(run.run, 1, "a", 1, 0.1)
     bench.scheduler.close("s")
     ended = CancelRun(run.run, "s-0-0", "e0", CancelReason.STEP_ENDED)
-    assert ended in bench.scheduler.take()
+    assert ended in bench.scheduler.pop_instructions()
     bench.scheduler.run_ended(run.run, RunEnd.BROKEN, 0.2)
     bench.open(size=1, step="s")
     (again,) = starts(bench.tick(3.0))
     assert again.last_event == 1
 
 
-def test_a_successor_goes_on_from_the_text_that_was_left() -> None:
+def test_a_successor_continues_the_saved_text() -> None:
     bench = Bench(engines=1)
     progress = SampleProgress(id="s-0-0", parts=[b'["a", "b"]'], versions=[1], last_event=2)
     bench.scheduler.keep_progress(progress)
@@ -430,21 +433,21 @@
 
 
 def test_a_scorer_that_was_not_asked_counts_for_nothing_whatever_failed_before() -> None:
-    """Incident 10: a scorer without room ended samples after one answer that said failed."""
+    """Guards against samples given up after a scorer without room and one reported failure."""
     bench = Bench(engines=1)
     bench.open(groups=1, size=1)
     (start,) = starts(bench.tick(0.0))
     bench.scheduler.run_ended(start.run, RunEnd.WHOLE, 0.5)
-    bench.scheduler.take()
+    bench.scheduler.pop_instructions()
     bench.scheduler.scored("s", "s-0-0", ScoreEnd.FAILED, "", 3)
-    assert isinstance(bench.scheduler.take()[0], ScoreText)
+    assert isinstance(bench.scheduler.pop_instructions()[0], ScoreText)
     for _ in range(5):
         bench.scheduler.scored("s", "s-0-0", ScoreEnd.LOST, "", 1)
-        assert isinstance(bench.scheduler.take()[0], ScoreText)
+        assert isinstance(bench.scheduler.pop_instructions()[0], ScoreText)
     bench.scheduler.scored("s", "s-0-0", ScoreEnd.FAILED, "", 3)
-    assert isinstance(bench.scheduler.take()[0], ScoreText)
+    assert isinstance(bench.scheduler.pop_instructions()[0], ScoreText)
     bench.scheduler.scored("s", "s-0-0", ScoreEnd.FAILED, "", 3)
-    (given_up,) = bench.scheduler.take()
+    (given_up,) = bench.scheduler.pop_instructions()
     assert isinstance(given_up, ListResult)
     assert not given_up.result.succeeded
 
@@ -463,7 +466,7 @@
         assert bench.tick(number * 0.5 + 0.1) == []
 
 
-def test_where_all_zones_are_evacuated_samples_wait_and_begin_once_one_is_taken_back() -> None:
+def test_if_all_zones_are_evacuated_samples_wait_and_start_once_an_evacuation_ends() -> None:
     bench = Bench(engines=2)
     bench.directory.evacuated = frozenset({"z"})
     bench.open(size=2)
@@ -472,7 +475,7 @@
     assert len(starts(bench.tick(1.0))) == 2
 
 
-def test_a_run_that_was_held_back_counts_as_no_failure_of_its_engine() -> None:
+def test_a_blocked_run_counts_as_no_failure_of_its_engine() -> None:
     bench = Bench(engines=1)
     bench.open(size=1)
     (run,) = starts(bench.tick(0.0))
@@ -494,7 +497,7 @@
     assert not starts(bench.tick(1.5))
     bench.scheduler.note_stall(2.1)
     assert [each.engine for each in starts(bench.tick(2.1))] == ["e0"]
-    # Once it is warm it takes what its places take.
+    # Once it is warm it takes as many as it has slots.
     bench.scheduler.note_stall(9.0)
     assert [each.engine for each in starts(bench.tick(9.0))] == ["e0", "e0"]
 
@@ -503,7 +506,7 @@
     bench = Bench(engines=2)
     bench.open(groups=2, size=4)
     bench.scheduler.tick(0.0, 0.0)
-    runs = [each for each in bench.scheduler.take() if isinstance(each, StartRun)]
+    runs = [each for each in bench.scheduler.pop_instructions() if isinstance(each, StartRun)]
     there = [each for each in runs if each.engine == "e0"]
     assert there
     leaving = replace(entry("e0"), state=EngineState.LEAVING, leaves_seconds=2.0)
@@ -513,7 +516,7 @@
     bench.scheduler.run_ended(there[0].run, RunEnd.WHOLE, 0.2)
     for now in (0.2, 0.3, 0.4):
         bench.scheduler.tick(now, now)
-    done = bench.scheduler.take()
+    done = bench.scheduler.pop_instructions()
     assert not [each for each in done if isinstance(each, CancelRun)]
     assert not [each for each in done if isinstance(each, StartRun) and each.engine == "e0"]
     assert len(bench.scheduler.runs) == len(runs) - 1
--- a/src/pondtiller/rollouts/tests/test_scaling.py
+++ b/src/pondtiller/rollouts/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""Orders of engines: by need, without flapping, within limits, round dry and evacuated zones."""
+"""Orders of engines: by need, without flapping, within limits, despite unavailable zones."""
 
 import random
 from dataclasses import dataclass, field
@@ -7,8 +7,8 @@
 import pytest
 
 from pondtiller.rollouts.scaling import (
-    DRY_SECONDS,
     MARGIN,
+    NO_CAPACITY_PAUSE_SECONDS,
     POLICIES,
     RAISE_AFTER_SECONDS,
     RAISE_BELOW,
@@ -30,7 +30,7 @@
 
 @dataclass
 class Fleet:
-    """Engines that come and go as ordered, and a policy that is asked every half second."""
+    """Engines that start and stop as ordered, and a policy that is called every half second."""
 
     policy: PolicyName = PolicyName.NEED
     row: Scaling = field(default_factory=scaling)
@@ -71,9 +71,9 @@
         self.orders.append((self.now, order))
         key = (order.zone, order.is_spot)
         if key in self.dry and order.desired > self.engines[key]:
-            self.state.refused(order, self.now)
+            self.state.note_no_capacity(order, self.now)
             return
-        self.state.ordered(order, self.now)
+        self.state.note_order(order, self.now)
         if order.desired < self.engines[key]:
             self.engines[key] = order.desired
         else:
@@ -184,7 +184,7 @@
     assert fleet.engines["a", False] == 6
     assert fleet.total() >= 18.0 * MARGIN
     asked = [at for at, order in fleet.orders if order.zone == "a"]
-    assert all(later - earlier >= DRY_SECONDS for earlier, later in pairwise(asked))
+    assert all(later - earlier >= NO_CAPACITY_PAUSE_SECONDS for earlier, later in pairwise(asked))
 
 
 def test_an_evacuated_zone_counts_for_nothing_and_gets_no_order() -> None:
@@ -213,7 +213,7 @@
     assert fleet.total(True) > fleet.total(False)
 
 
-def test_when_a_zone_of_spot_engines_is_taken_steady_ones_fill_what_is_missing() -> None:
+def test_when_a_zone_loses_its_spot_engines_on_demand_ones_replace_them() -> None:
     fleet = Fleet(PolicyName.NEED_SPOT)
     fleet.run(10.0, 40.0)
     fleet.dry = {(zone, True) for zone in PRICES}
--- a/src/pondtiller/rollouts/tests/test_shedding.py
+++ b/src/pondtiller/rollouts/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""Steps that engines cannot make in time together: which groups go first, and what trainers get."""
+"""Steps that engines cannot complete in time together: which groups go first, and the effect."""
 
 from dataclasses import dataclass, replace
 
@@ -10,7 +10,7 @@
     GroupLoad,
     RunTimes,
     StepLoad,
-    group_turns,
+    order_groups,
 )
 from pondtiller.rollouts.step_record import StepRecord, add_sample
 from pondtiller.rollouts.steps import StepBook
@@ -28,7 +28,7 @@
 
 def turns(steps: list[StepLoad], rate: float, now: float = 0.0) -> list[str]:
     """Return the steps of the groups in their order."""
-    return [key.step for key in group_turns(steps, rate, now)]
+    return [key.step for key in order_groups(steps, rate, now)]
 
 
 def test_the_order_stays_while_everything_fits_or_the_rate_is_not_known() -> None:
@@ -52,13 +52,13 @@
     assert turns(steps, 8.0) == [*["high"] * 6, *["low"] * 6]
 
 
-def test_a_group_that_is_nearly_whole_goes_before_one_that_is_not_begun() -> None:
+def test_a_nearly_complete_group_goes_before_one_that_is_not_started() -> None:
     groups = (GroupLoad("new", 8, False, 0), GroupLoad("begun", 2, True, 1))
-    found = group_turns([StepLoad("s", 0, 1.7, 2, groups)], 8.0, 0.0)
+    found = order_groups([StepLoad("s", 0, 1.7, 2, groups)], 8.0, 0.0)
     assert found == (GroupKey("s", "begun"), GroupKey("s", "new"))
 
 
-def test_what_the_trainer_does_not_wait_for_goes_behind_once_not_all_fits() -> None:
+def test_groups_that_the_trainer_does_not_need_are_deferred_if_not_all_fit() -> None:
     steps = [load("a", 7.5, 5, wanted=2), load("b", 7.5, 4, wanted=4)]
     assert turns(steps, 8.0) == [*"aa", *"bbbb", *"aaa"]
 
@@ -82,9 +82,9 @@
 
 
 class Trainers:
-    """Three trainers that ask for a step each four seconds, more than the engines make.
+    """Three trainers that submit a step every four seconds, more than the engines can make.
 
-    Six engines of six places, 1.3 s a run: 28 samples a second, and 48 are asked.
+    Six engines with six slots at 1.3 s a run make 28 samples a second, and 48 are requested.
     """
 
     def __init__(self) -> None:
@@ -137,7 +137,7 @@
                 self.scheduler.run_event(number, run.events, "x", 1, now)
 
     def _carry_out(self, now: float) -> None:
-        for each in self.scheduler.take():
+        for each in self.scheduler.pop_instructions():
             match each:
                 case StartRun():
                     self.runs[each.run] = Run(now + 1.25, each.last_event)
@@ -160,7 +160,7 @@
 def test_trainers_that_ask_for_too_much_get_more_groups_in_time(monkeypatch) -> None:
     with_shedding = Trainers()
     with_shedding.play(40.0)
-    monkeypatch.setattr(turns_module, "group_turns", lambda *_: ())
+    monkeypatch.setattr(turns_module, "order_groups", lambda *_: ())
     without = Trainers()
     without.play(40.0)
     assert sum(with_shedding.in_time.values()) > 2 * sum(without.in_time.values())
--- a/src/pondtiller/rollouts/tests/test_steps.py
+++ b/src/pondtiller/rollouts/tests/test_steps.py
@@ -1,4 +1,4 @@
-"""Steps: taken once, positions final, shown only when written, restored as they were."""
+"""Steps: accepted once, positions final, visible only when written, restored unchanged."""
 
 import pytest
 
@@ -81,7 +81,7 @@
     assert listed(book.read("s1", 1)) == ["s1-0"]
 
 
-def test_a_sample_stands_at_one_position() -> None:
+def test_a_sample_has_one_position() -> None:
     book = StepBook()
     book.open(make_step())
     commit_all(book)
@@ -147,7 +147,7 @@
 
 
 def test_a_leader_takes_a_large_step_without_reading_its_samples(monkeypatch) -> None:
-    """Incident 14: a message for each sample stood a leader still for longer than its lease."""
+    """A message for each sample blocked a leader for longer than its lease."""
 
     def parse(*_given: object) -> None:
         raise AssertionError("a sample was read")
@@ -164,7 +164,7 @@
     assert len(successor.open_samples()) == 200
 
 
-def test_a_result_is_read_out_as_it_stands_in_the_log(monkeypatch) -> None:
+def test_a_result_is_returned_as_it_is_in_the_log(monkeypatch) -> None:
     book = StepBook()
     book.open(make_step())
     book.list_result("s1", result(0))
@@ -173,7 +173,7 @@
     assert book.read("s1", 0).results == [bytes(result(0))]
 
 
-def test_an_ended_step_is_told_once_its_values_are_read() -> None:
+def test_an_ended_step_is_answered_once_its_values_are_loaded() -> None:
     book = StepBook()
     book.open(make_step())
     entries = commit_all(book)
--- a/src/pondtiller/rollouts/tests/test_versions.py
+++ b/src/pondtiller/rollouts/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Orders for versions: who loads, when, how often, and what a late order can do."""
+"""Orders for versions: which engines load, when, how often, and the effect of a late order."""
 
 from dataclasses import replace
 
@@ -20,21 +20,21 @@
     made = VersionSteward(directory)
     made.may_order_from = 0.0
     for number in range(engines):
-        made.reported(f"e{number}", dict(models), 0, busy=False)
+        made.note_report(f"e{number}", dict(models), 0, busy=False)
     return made
 
 
 def orders(made: VersionSteward, now: float) -> list[OrderVersion]:
     made.tick(now)
-    return [each for each in made.take() if isinstance(each, OrderVersion)]
+    return [each for each in made.pop_instructions() if isinstance(each, OrderVersion)]
 
 
 def load_all(made: VersionSteward, now: float) -> list[OrderVersion]:
-    """Give all orders that are due, each carried out at once."""
+    """Give all orders that are due, each of them executed at once."""
     given: list[OrderVersion] = []
     while found := orders(made, now):
         for order in found:
-            made.answered(order.engine, True, now)
+            made.note_answer(order.engine, True, now)
             engine = made.engines.engines[order.engine]
             models = {**engine.entry.models, order.model: order.version}
             made.engines.update_entry(entry(order.engine, models))
@@ -44,18 +44,18 @@
 
 def test_all_engines_of_a_single_model_load_each_version_two_at_a_time() -> None:
     made = steward(4, {"m": 1})
-    made.named("m", 2)
+    made.note_version("m", 2)
     assert len(orders(made, 0.0)) == 2
     assert orders(made, 0.1) == []
     for name in list(made.loads):
-        made.answered(name, True, 0.1)
+        made.note_answer(name, True, 0.1)
         made.engines.update_entry(entry(name, {"m": 2}))
     assert len(orders(made, 1.0)) == 2
 
 
 def test_more_engines_load_together_where_there_are_more() -> None:
     made = steward(20, {"m": 1})
-    made.named("m", 2)
+    made.note_version("m", 2)
     assert len(orders(made, 0.0)) == 8
 
 
@@ -65,7 +65,7 @@
         made.step_opened(model, 100.0, samples=100)
     loaded: dict[int, set[str]] = {}
     for version in (2, 3):
-        made.named("a", version)
+        made.note_version("a", version)
         loaded[version] = {order.engine for order in load_all(made, float(version))}
     assert all(len(engines) <= 2 for engines in loaded.values())
     assert not loaded[2] & loaded[3]
@@ -77,10 +77,10 @@
     assert load_shares(4, {"a": 1.0}) == {"a": 4}
 
 
-def test_no_order_before_an_earlier_leader_is_surely_silent() -> None:
+def test_no_order_before_an_earlier_leaders_orders_have_expired() -> None:
     made = steward(1, {"m": 1})
     made.may_order_from = 4.0
-    made.named("m", 2)
+    made.note_version("m", 2)
     assert orders(made, 3.9) == []
     assert len(orders(made, 4.0)) == 1
 
@@ -89,7 +89,7 @@
     made = steward(2, {"m": 1})
     made.engines.replace_entries([entry("e0", {"m": 1}), entry("e1", {"m": 1}, port=2)], 0.0)
     made.waits = {"10.0.0.1:2": 4.0}
-    made.named("m", 2)
+    made.note_version("m", 2)
     assert [order.engine for order in orders(made, 3.9)] == ["e0"]
     assert [order.engine for order in orders(made, 4.0)] == ["e1"]
 
@@ -97,32 +97,32 @@
 def test_an_order_names_how_many_the_engine_had_taken_and_is_not_given_unknowing() -> None:
     made = steward(1, {"m": 1})
     made.known.clear()
-    made.named("m", 2)
+    made.note_version("m", 2)
     made.tick(0.0)
-    assert made.take() == [AskEngine("e0")]
-    made.reported("e0", {"m": 1}, 7, busy=False)
+    assert made.pop_instructions() == [AskEngine("e0")]
+    made.note_report("e0", {"m": 1}, 7, busy=False)
     (order,) = orders(made, 1.0)
     assert order.orders_taken == 7
 
 
 def test_an_unanswered_order_is_asked_after_and_given_again() -> None:
     made = steward(1, {"m": 1})
-    made.named("m", 2)
+    made.note_version("m", 2)
     assert len(orders(made, 0.0)) == 1
     made.tick(1.0)
-    assert AskEngine("e0") in made.take()
-    made.reported("e0", {"m": 1}, 0, busy=False)
+    assert AskEngine("e0") in made.pop_instructions()
+    made.note_report("e0", {"m": 1}, 0, busy=False)
     (again,) = orders(made, 1.1)
     assert again.orders_taken == 0
 
 
 def test_a_refused_order_is_given_again_with_the_right_number() -> None:
     made = steward(1, {"m": 1})
-    made.named("m", 2)
+    made.note_version("m", 2)
     orders(made, 0.0)
-    made.answered("e0", False, 0.1)
-    assert made.take() == [AskEngine("e0")]
-    made.reported("e0", {"m": 1}, 3, busy=False)
+    made.note_answer("e0", False, 0.1)
+    assert made.pop_instructions() == [AskEngine("e0")]
+    made.note_report("e0", {"m": 1}, 3, busy=False)
     (again,) = orders(made, 0.2)
     assert again.orders_taken == 3
 
@@ -132,22 +132,22 @@
     made.engines.update_entry(entry("e0", {"m": 1, "n": 1}, EngineState.LEAVING))
     for number, pace in ((1, 0.3), (2, 0.03)):
         made.engines.engines[f"e{number}"].event_seconds = pace
-    made.named("m", 2)
+    made.note_version("m", 2)
     assert [order.engine for order in orders(made, 0.0)] == ["e2"]
 
 
 def test_a_version_goes_to_another_engine_when_its_engine_is_gone() -> None:
     made = steward(3, {"m": 1, "n": 1})
-    made.named("m", 2)
+    made.note_version("m", 2)
     given = load_all(made, 0.0)
     made.engines.engines.pop(given[0].engine)
     assert load_all(made, 1.0) or len(given) > 1
 
 
 def test_engines_whose_entries_have_all_lapsed_leave_nothing_to_share() -> None:
-    """Incident 2: the steward failed here, and its daemon led on without running samples."""
+    """Guards against a steward that failed here, so that its leader ran no samples any more."""
     made = steward(2, {"m": 1})
-    made.named("m", 2)
+    made.note_version("m", 2)
     made.engines.replace_entries([], 0.0)
     assert orders(made, 0.1) == []
     assert load_shares(3, {}) == {}
@@ -157,7 +157,7 @@
     made = steward(4, {"m": 1, "n": 1})
     made.step_opened("m", 100.0, samples=100)
     made.step_opened("n", 100.0, samples=100)
-    made.named("m", 2)
+    made.note_version("m", 2)
     first = {each.engine for each in load_all(made, 0.0)}
     assert len(first) == 2
     for name in first:
@@ -171,7 +171,7 @@
 
 def test_a_load_under_way_at_an_evacuated_engine_keeps_no_other_from_loading() -> None:
     made = steward(2, {"m": 1, "n": 1})
-    made.named("m", 2)
+    made.note_version("m", 2)
     (order,) = orders(made, 0.0)
     made.engines.update_entry(replace(made.engines.engines[order.engine].entry, zone="y"))
     assert orders(made, 0.1) == []
@@ -182,7 +182,7 @@
 
 def load_version(made: VersionSteward, version: int, now: float) -> list[str]:
     for model in ("a", "b"):
-        made.named(model, version)
+        made.note_version(model, version)
     return [f"{order.model}/{order.engine}" for order in load_all(made, now)]
 
 
@@ -218,6 +218,6 @@
     for samples in (16, 64, 16):
         made.step_opened("a", 100.0, samples)
         made.step_opened("b", 100.0, 8)
-    made.named("a", 2)
+    made.note_version("a", 2)
     loaded = load_all(made, 0.0)
     assert 3 < len(loaded) <= 12
--- a/src/pondtiller/rollouts/versions.py
+++ b/src/pondtiller/rollouts/versions.py
@@ -1,32 +1,31 @@
-"""Versions of weights: one steward brings each engine to the newest version named. No I/O.
+"""Versions of weights: one steward updates each engine to the newest named version. No I/O.
 
-Orders carry the leader's epoch as their fence, the engine's incarnation, and the number of
-orders that the engine had taken, so one that is carried out late does nothing. A few engines
-of a model load at a time; the others serve on with the version before.
+Orders carry the leader's epoch as their fence, the engine's incarnation, and the number of orders
+that the engine had accepted, so that a delayed order has no effect. A few engines of a model load
+at a time; the others keep serving with the previous version.
 
-Owns the orders under way and what engines last reported, for one term of a leader; what lasts is
-at the engines themselves. Relies on `load_choice.py` and `model_demand.py` for which engines load
-and how many, and on its caller to send orders and questions. Does not read weights.
+Holds the orders in progress and the engines' last reports, for one term of a leader; the durable
+state is at the engines. `load_choice.py` and `model_demand.py` decide which engines load and how
+many; the caller sends orders and questions. Does not read weights.
 """
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from pondtiller.rollouts.load_choice import LoadOrder, loads_at_once, spare_below
+from pondtiller.rollouts.load_choice import LoadPriority, loads_at_once, spare_below
 from pondtiller.rollouts.model_demand import ModelDemand
 from pondtiller.rollouts.model_fleet import ModelFleet, fleets_of
 from pondtiller.routes.engines import Engine, EngineDirectory
 
 LOAD_SECONDS = 1.6
-"""From an engine's consent until it is asked what became of the load, in seconds. Chosen, not
-measured: too short asks an engine that still loads, which costs a message; an entry or report that
-names the version ends the wait before."""
+"""Time from an engine's acceptance until it is asked about the load. A shorter one asks an engine
+that is still loading, which costs a message; an entry or report with the version ends the wait."""
 UNANSWERED_SECONDS = 0.8
-"""The same from an order that was not answered yet, and between two questions, in seconds. Chosen,
-not measured: too short asks a busy engine in vain, which costs a message."""
+"""The same for an order that is not answered yet, and between two questions. A shorter one asks a
+busy engine needlessly, which costs a message."""
 REFUSED_SECONDS = 0.4
-"""Pause of an engine that refused an order or whose count of orders is being asked, in seconds.
-Chosen, not measured: its own report ends it before; without one the engine is asked again."""
+"""Pause of an engine that refused an order or whose order count is being asked. Its own report ends
+it; without one the engine is asked again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskEngine:
-    """Ask an engine for its versions and the number of orders taken."""
+    """Ask an engine for its versions and its order count."""
 
     engine: str
 
@@ -55,14 +54,14 @@
 
 
 class EngineReport(NamedTuple):
-    """What an engine said of itself, with the orders that it took after that.
+    """An engine's last report, with the orders that it accepted after that.
 
     Attributes
     ----------
     models
         Versions by model.
     orders_taken
-        Orders that it has taken so far; the next one names this number.
+        Orders that it has accepted so far; the next one must name this number.
     """
 
     models: dict[str, int]
@@ -74,12 +73,12 @@
 
 @dataclass
 class Load:
-    """An order under way.
+    """An order in progress.
 
     Attributes
     ----------
     until
-        When the engine is asked what became of it.
+        When the engine is asked about the outcome.
     """
 
     model: str
@@ -89,23 +88,23 @@
 
 @dataclass
 class VersionSteward:
-    """Decides which engine loads what.
+    """Decides which engine loads which version.
 
     Attributes
     ----------
     newest
-        Newest version named, by model.
+        Newest named version by model.
     may_order_from
-        No order before this time: the right to order is not claimed yet.
+        No order before this time: the permission to order is not claimed yet.
     waits
-        No order to an engine before this time, by its place: another leader's last order to it
+        No order to an engine before this time, by its address: another leader's last order to it
         may still arrive.
     demand
-        What steps ask of each model.
+        Demand of steps for each model.
     loads
-        Orders under way, by engine.
+        Orders in progress by engine.
     known
-        What engines reported, by engine.
+        Reports by engine.
     """
 
     engines: EngineDirectory
@@ -120,21 +119,21 @@
     _fleets: dict[str, ModelFleet] = field(default_factory=dict)
     _out: list[OrderVersion | AskEngine] = field(default_factory=list)
 
-    def take(self) -> list[OrderVersion | AskEngine]:
+    def pop_instructions(self) -> list[OrderVersion | AskEngine]:
         """Return the instructions since the last call."""
         taken, self._out = self._out, []
         return taken
 
-    def named(self, model: str, version: int) -> None:
-        """Take a version that a trainer named."""
+    def note_version(self, model: str, version: int) -> None:
+        """Record a version that a trainer named."""
         self.newest[model] = max(version, self.newest.get(model, 0))
 
     def step_opened(self, model: str, tokens: float, samples: int) -> None:
-        """Take the size of a step, for the sharing of engines among models."""
+        """Record the size of a step, to share engines among models."""
         self.demand.step_opened(model, tokens, samples)
 
-    def answered(self, engine: str, is_taken: bool, now: float) -> None:
-        """Take an engine's consent or refusal."""
+    def note_answer(self, engine: str, is_taken: bool, now: float) -> None:
+        """Process an engine's acceptance or refusal of an order."""
         load = self.loads.get(engine)
         if load is None:
             return
@@ -150,8 +149,10 @@
         report = self.known[engine]
         self.known[engine] = report._replace(orders_taken=report.orders_taken + 1)
 
-    def reported(self, engine: str, models: dict[str, int], orders_taken: int, busy: bool) -> None:
-        """Take an engine's own report."""
+    def note_report(
+        self, engine: str, models: dict[str, int], orders_taken: int, busy: bool
+    ) -> None:
+        """Process an engine's own report."""
         self.known[engine] = EngineReport(models, orders_taken)
         self._pause.pop(engine, None)
         load = self.loads.get(engine)
@@ -159,24 +160,24 @@
             del self.loads[engine]
 
     def is_loading(self, engine: str, model: str) -> bool:
-        """Return whether an engine is told to change a model."""
+        """Return whether an engine has been ordered to change a model."""
         load = self.loads.get(engine)
         return load is not None and load.model == model
 
     def tick(self, now: float) -> None:
-        """Give the orders that are due."""
+        """Emit the orders that are due."""
         self._finish(now)
         if now < self.may_order_from or not self.newest:
             return
         self._fleets = fleets_of(self.engines)
-        for model, version in self._by_need():
-            for engine in self._to_load(model, version, now):
+        for model, version in self._by_scarcity():
+            for engine in self._engines_to_load(model, version, now):
                 if len(self.loads) >= self._loads_at_once():
                     return
                 if engine.identifier in self.known:
                     self._order(engine, model, version, now)
                 else:
-                    self._ask_first(engine, now)
+                    self._ask_order_count(engine, now)
 
     def _finish(self, now: float) -> None:
         for identifier, load in list(self.loads.items()):
@@ -188,23 +189,23 @@
                 self._out.append(AskEngine(identifier))
 
     def _loads_at_once(self) -> int:
-        """Return how many engines may load together; the others serve on meanwhile."""
+        """Return how many engines may load at the same time; the others keep serving."""
         with_models = {each for fleet in self._fleets.values() for each in fleet.engines}
         return loads_at_once(len(with_models))
 
-    def _by_need(self) -> list[ModelVersion]:
+    def _by_scarcity(self) -> list[ModelVersion]:
         """Return the newest versions, those that fewest engines have first."""
         versions = [ModelVersion(*each) for each in self.newest.items()]
         return sorted(versions, key=lambda each: len(self._holding(each.model, each.version)))
 
-    def _to_load(self, model: str, version: int, now: float) -> list[Engine]:
-        """Return the engines that are to load a version now, the first ones first.
+    def _engines_to_load(self, model: str, version: int, now: float) -> list[Engine]:
+        """Return the engines that should load a version now, in order.
 
-        The most outdated come first, slow ones last. Where engines are left over, those that had
-        one of the last versions take turns, and the others stay as they are.
+        The most outdated come first, slow ones last. If there are spare engines, those that had one
+        of the last versions alternate, and the others stay as they are.
         """
         fleet = self._fleet(model)
-        missing = self.demand.engines_wanted(model, fleet) - len(self._holding(model, version))
+        missing = self.demand.target_engines(model, fleet) - len(self._holding(model, version))
         if missing <= 0:
             return []
         behind = [
@@ -214,10 +215,10 @@
         ]
         spare = spare_below(version, self.demand.is_enough(fleet))
 
-        def order(engine: Engine) -> LoadOrder:
+        def order(engine: Engine) -> LoadPriority:
             has = self._version_of(engine, model)
             name = engine.identifier
-            return LoadOrder(name in fleet.slow, has < spare, has, engine.running, name)
+            return LoadPriority(name in fleet.slow, has < spare, has, engine.running, name)
 
         return sorted(behind, key=order)[:missing]
 
@@ -255,8 +256,8 @@
         reported = self.known.get(engine.identifier, NOTHING_REPORTED).models
         return max(engine.entry.models.get(model, 0), reported.get(model, 0))
 
-    def _ask_first(self, engine: Engine, now: float) -> None:
-        """Learn how many orders an engine has taken; only its own report tells."""
+    def _ask_order_count(self, engine: Engine, now: float) -> None:
+        """Ask for an engine's order count, which only its own report contains."""
         self._pause[engine.identifier] = now + REFUSED_SECONDS
         self._out.append(AskEngine(engine.identifier))
 
--- a/src/pondtiller/routes/engine_choice.py
+++ b/src/pondtiller/routes/engine_choice.py
@@ -120,7 +120,7 @@
         Regions that the request may be in; empty for any.
     excluded
         Identifiers of engines that are not eligible now.
-    again
+    resendable
         Identifiers of engines that already had the request and may get it once more.
     engines_used
         Number of engines that it was sent to.
@@ -237,7 +237,7 @@
             self._probed_at[service] = now
 
     def _cost(self, engine: Engine, usual: float) -> float:
-        places = self._engines.places
+        places = self._engines.topology
         inputs = CostInputs(
             engine.running,
             engine.entry.slots,
--- a/src/pondtiller/routes/engines.py
+++ b/src/pondtiller/routes/engines.py
@@ -248,7 +248,7 @@
 
     Parameters
     ----------
-    places
+    topology
         Zones and their regions.
 
     Attributes
@@ -267,7 +267,7 @@
     """
 
     def __init__(self, topology: Topology | None = None) -> None:
-        self.places = topology or Topology()
+        self.topology = topology or Topology()
         self.evacuated: frozenset[str] = frozenset()
         self.awaits_evacuations = False
         self.engines: dict[str, Engine] = {}
@@ -374,7 +374,7 @@
         of_service = [
             each
             for each in self._by_service.get(service, {}).values()
-            if not self.is_evacuated(each) and self.places.allows_zone(each.entry.zone, homes)
+            if not self.is_evacuated(each) and self.topology.allows_zone(each.entry.zone, homes)
         ]
         listed = [
             each
--- a/src/pondtiller/routes/live_queue.py
+++ b/src/pondtiller/routes/live_queue.py
@@ -64,7 +64,7 @@
     ----------
     answer_seconds
         Duration of an answer, over all rows; 0 if unknown.
-    places
+    concurrency
         This daemon's requests that may be at engines concurrently.
     own_seconds
         Duration of an answer of the request's own row; 0 if unknown.
@@ -149,7 +149,7 @@
 
         Parameters
         ----------
-        left
+        seconds_left
             Seconds until its deadline.
         """
         drained = pace.seconds_to_leave(len(self._waiting) + 1) if pace.answer_seconds else None
--- a/src/pondtiller/routes/quarantine.py
+++ b/src/pondtiller/routes/quarantine.py
@@ -89,7 +89,7 @@
 
         Parameters
         ----------
-        own_ends
+        own_crashes
             Crashes that no other quarantined content shares.
         has_spare
             Whether its service still has another engine if the trial crashes one.
--- a/src/pondtiller/routes/retry_after.py
+++ b/src/pondtiller/routes/retry_after.py
@@ -41,9 +41,9 @@
 
     Parameters
     ----------
-    left
+    seconds_left
         Seconds until the request's deadline.
-    drained
+    drain_seconds
         Seconds until the waiting requests have left; None if no pace is known.
     draw
         Random number from 0 to 1.
--- a/src/pondtiller/routes/tests/test_engine_incarnations.py
+++ b/src/pondtiller/routes/tests/test_engine_incarnations.py
@@ -150,18 +150,18 @@
     directory.replace_entries([entry(FIRST, 10)], 0.0)
     steward = VersionSteward(directory)
     steward.may_order_from = 0.0
-    steward.reported(f"e@{FIRST}", {"m": 1}, 7, busy=False)
-    steward.named("m", 2)
+    steward.note_report(f"e@{FIRST}", {"m": 1}, 7, busy=False)
+    steward.note_version("m", 2)
     steward.tick(0.0)
-    assert steward.loads and steward.take()
+    assert steward.loads and steward.pop_instructions()
     directory.update_entry(entry(SECOND, 20), 1.0)
     steward.tick(1.0)
     # The engine is asked for its order count again: a lower number than before is not outdated.
-    assert steward.take() == [AskEngine(f"e@{SECOND}")]
+    assert steward.pop_instructions() == [AskEngine(f"e@{SECOND}")]
     assert steward.loads == {}
-    steward.reported(f"e@{SECOND}", {"m": 1}, 0, busy=False)
+    steward.note_report(f"e@{SECOND}", {"m": 1}, 0, busy=False)
     steward.tick(2.0)
-    (order,) = steward.take()
+    (order,) = steward.pop_instructions()
     assert (order.engine, getattr(order, "orders_taken", None)) == (f"e@{SECOND}", 0)
 
 
--- a/src/pondtiller/serve/core/constants.py
+++ b/src/pondtiller/serve/core/constants.py
@@ -19,7 +19,7 @@
 """From this priority up a request sees only requests that are urgent too as occupying an engine,
 since engines push the others aside."""
 
-QUEUE_LIMIT_A_ROW = 2048
+QUEUE_LIMIT_PER_ROW = 2048
 """Requests of a row that may wait at one daemon; more are refused as not run. Chosen, not measured:
 it bounds memory, and waits are bounded by deadlines."""
 MAXIMUM_ATTEMPTS = 8
@@ -97,7 +97,7 @@
 """For an engine that has read a prompt's beginning just now, in parts of an engine's places; it
 falls to nothing over `PREFIX_HINT_SECONDS`. Chosen, not measured: below `OTHER_ZONE_PENALTY`."""
 
-WATCHERS_A_ZONE = 2
+WATCHERS_PER_ZONE = 2
 """Daemons of a zone that watch the object service, which bears few readers. Chosen: two, so that
 the loss of one is not noticed."""
 WATCH_SECONDS = 10.0
@@ -117,11 +117,11 @@
 SAMPLE_POLL_MAXIMUM_SECONDS = 30.0
 """Longest wait of a trainer that reads samples. Chosen, not measured: below the usual 60 s of
 connections that carry nothing."""
-SAMPLES_A_READ = 256
+SAMPLES_PER_READ = 256
 """Samples in one answer. Chosen, not measured."""
 SCORE_TIMEOUT_SECONDS = 10.0
 """Time after which a scorer that does not answer is asked again. Chosen, not measured."""
-OPEN_STEPS_A_TRAINER = 4
+OPEN_STEPS_PER_TRAINER = 4
 """Steps of one trainer that may be open at a home; another is refused. Chosen, not measured: it
 bounds memory."""
 
--- a/src/pondtiller/serve/daemon/caller_api.py
+++ b/src/pondtiller/serve/daemon/caller_api.py
@@ -28,7 +28,7 @@
 CALLER_HEADER = "x-caller-class"
 ONCE_HEADER = "x-run-at-most-once"
 KEY_HEADER = "idempotency-key"
-LONGEST_KEY = 255
+MAX_KEY = 255
 """Characters of an idempotency key; a longer one is refused. Chosen, not measured: it is part of a
 register key."""
 
@@ -70,8 +70,8 @@
         chat: bool,
     ) -> None:
         key = exchange.request.headers.get(KEY_HEADER, "")
-        if len(key) > LONGEST_KEY:
-            await _refuse(exchange, f"{KEY_HEADER}: longer than {LONGEST_KEY} characters")
+        if len(key) > MAX_KEY:
+            await _refuse(exchange, f"{KEY_HEADER}: longer than {MAX_KEY} characters")
             return
         spec = self._spec(exchange.request, service, prompt, maximum_tokens, stream)
         form = AnswerForm(spec.request_id, service, chat)
--- a/src/pondtiller/serve/daemon/completion_bodies.py
+++ b/src/pondtiller/serve/daemon/completion_bodies.py
@@ -8,7 +8,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-LARGEST_PROMPT_CHARACTERS = 4_000_000
+MAX_PROMPT_CHARACTERS = 4_000_000
 """A longer prompt is refused as malformed. Chosen, not measured: it bounds memory."""
 
 MaximumTokens = Annotated[int, Field(ge=1, le=1_000_000)]
@@ -20,7 +20,7 @@
     model_config = ConfigDict(extra="ignore", strict=True)
 
     model: str
-    prompt: str = Field(max_length=LARGEST_PROMPT_CHARACTERS)
+    prompt: str = Field(max_length=MAX_PROMPT_CHARACTERS)
     max_tokens: MaximumTokens | None = None
     stream: bool | None = None
     n: Literal[1] | None = None
--- a/src/pondtiller/serve/daemon/peer_transport.py
+++ b/src/pondtiller/serve/daemon/peer_transport.py
@@ -13,10 +13,10 @@
 from pondtiller.process.spawner import Spawner
 from pondtiller.wire.envelope import Letter, decode, encode
 
-LARGEST_DATAGRAM = 8_000
+MAX_DATAGRAM = 8_000
 """Bytes of a letter that is sent as one datagram; a larger one gets a connection. Chosen: loopback
 and jumbo frames carry it whole, others in few fragments."""
-LARGEST_LETTER = 64 * 1024 * 1024
+MAX_LETTER = 64 * 1024 * 1024
 """Bytes; a longer one is not read. Chosen, not measured: it bounds memory."""
 LENGTH_BYTES = 4
 """Of the length before a letter on a connection, big endian."""
@@ -66,7 +66,7 @@
         data = encode(letter)
         self.sent_messages += 1
         self.sent_bytes += len(data)
-        if len(data) > LARGEST_DATAGRAM:
+        if len(data) > MAX_DATAGRAM:
             await group.spawn(_send_large, address, data)
             return
         try:
@@ -96,7 +96,7 @@
                 async with curio.timeout_after(TRANSFER_SECONDS):
                     head = await _read_exactly(client, LENGTH_BYTES)
                     length = int.from_bytes(head, "big")
-                    if length > LARGEST_LETTER:
+                    if length > MAX_LETTER:
                         self.invalid_messages += 1
                         return
                     data = await _read_exactly(client, length)
--- a/src/pondtiller/serve/daemon/runtime.py
+++ b/src/pondtiller/serve/daemon/runtime.py
@@ -41,7 +41,7 @@
 from pondtiller.serve.systems.tick import next_wakeup, tick
 from pondtiller.wire.envelope import Letter
 
-LONGEST_SLEEP_SECONDS = 5.0
+MAX_SLEEP_SECONDS = 5.0
 """Longest pause between two ticks where no timer is due. Chosen, not measured: a guard, since what
 arrives wakes the tick."""
 
@@ -108,7 +108,7 @@
             await curio.sleep(0)
             return
         due = next_wakeup(self.world)
-        seconds = LONGEST_SLEEP_SECONDS
+        seconds = MAX_SLEEP_SECONDS
         if due is not None:
             seconds = min(seconds, max(0.0, due - clock.monotonic()))
         self._arrived.clear()
--- a/src/pondtiller/serve/demo/load.py
+++ b/src/pondtiller/serve/demo/load.py
@@ -27,7 +27,7 @@
 """Of one request. Chosen, not measured."""
 RETRY_SECONDS = 0.5
 """Pause between two of them. Chosen, not measured."""
-LONGEST_MICROSECONDS = 120_000_000
+MAX_MICROSECONDS = 120_000_000
 """Upper end of the histogram of latencies: two of a caller's waits."""
 DATA_PREFIX = "data: "
 END_MARK = "[DONE]"
@@ -45,9 +45,7 @@
     """
 
     requests: list[CallerRequest] = field(default_factory=list)
-    latencies: HdrHistogram = field(
-        default_factory=lambda: HdrHistogram(1, LONGEST_MICROSECONDS, 3)
-    )
+    latencies: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_MICROSECONDS, 3))
 
 
 @dataclass(slots=True)
--- a/src/pondtiller/serve/emulator/platform_server.py
+++ b/src/pondtiller/serve/emulator/platform_server.py
@@ -23,7 +23,7 @@
 OBJECTS_PATH = "/api/v1/objects"
 WATCH_CHECK_SECONDS = 0.02
 """How often a waiting watch looks for changes. Chosen, not measured."""
-LONGEST_WATCH_SECONDS = 60.0
+MAX_WATCH_SECONDS = 60.0
 """Longest wait that a watch may ask for. Modelled."""
 
 
@@ -126,7 +126,7 @@
     async def _watch(self, query: dict[str, str]) -> HttpResponse:
         try:
             revision = int(query.get("resourceVersion", "0"))
-            seconds = min(float(query.get("timeoutSeconds", "10")), LONGEST_WATCH_SECONDS)
+            seconds = min(float(query.get("timeoutSeconds", "10")), MAX_WATCH_SECONDS)
         except ValueError as error:
             return failure_response(Failure(ErrorKind.BAD_REQUEST, str(error)))
         until = clock.monotonic() + seconds
--- a/src/pondtiller/serve/emulator/text.py
+++ b/src/pondtiller/serve/emulator/text.py
@@ -12,7 +12,7 @@
 LETTERS = "abcdefghijklmnopqrstuvwxyz"
 TOKEN_CHARACTERS = 4
 """Characters of a token, its space included."""
-SHORTEST_ANSWER = 4
+MIN_ANSWER = 4
 """Tokens. Modelled."""
 MEDIAN_TOKENS = 120
 """Of the lognormal lengths of answers. Modelled: most are short."""
@@ -41,7 +41,7 @@
     """Return the answer's length in tokens: heavy-tailed, fixed by the prompt."""
     source = random.Random(score("length", prompt))
     drawn = source.lognormvariate(0.0, TAIL_SHAPE) * MEDIAN_TOKENS
-    return min(maximum_tokens, max(SHORTEST_ANSWER, int(drawn)))
+    return min(maximum_tokens, max(MIN_ANSWER, int(drawn)))
 
 
 def expected_answer(prompt: str, maximum_tokens: int) -> str:
--- a/src/pondtiller/serve/simulation/tests/test_growth.py
+++ b/src/pondtiller/serve/simulation/tests/test_growth.py
@@ -11,7 +11,7 @@
 from pondtiller.serve.simulation.shared_parts import ControlCosts
 from pondtiller.table.sheet import Row, RowKind
 
-LARGEST_GROWTH = 1.25
+MAX_GROWTH = 1.25
 ZONES = ("north-a", "north-b", "north-c", "south-a", "south-b")
 MODEL = "policy"
 SETTLE_SECONDS, REST_SECONDS, PUBLISH_SECONDS = 90.0, 10.0, 20.0
@@ -76,7 +76,7 @@
 
 def test_control_messages_and_ticks_of_a_daemon_do_not_grow_with_the_group():
     small, large = (costs(members, members * 2, 10, 1) for members in (10, 40))
-    assert large.messages <= small.messages * LARGEST_GROWTH
-    assert large.sent_bytes <= small.sent_bytes * LARGEST_GROWTH
-    assert large.ticks <= small.ticks * LARGEST_GROWTH
+    assert large.messages <= small.messages * MAX_GROWTH
+    assert large.sent_bytes <= small.sent_bytes * MAX_GROWTH
+    assert large.ticks <= small.ticks * MAX_GROWTH
     assert large.has_new_version
--- a/src/pondtiller/serve/systems/admission.py
+++ b/src/pondtiller/serve/systems/admission.py
@@ -53,7 +53,7 @@
         return Failure(ErrorKind.UNKNOWN_MODEL, spec.row)
     if spec.caller and world.sheet.row(RowKind.CALLER, spec.caller) is None:
         return Failure(ErrorKind.UNKNOWN_ROW, f"caller/{spec.caller}")
-    if world.queue.length(spec.row) >= constants.QUEUE_LIMIT_A_ROW:
+    if world.queue.length(spec.row) >= constants.QUEUE_LIMIT_PER_ROW:
         return Failure(ErrorKind.QUEUE_FULL)
     return None
 
--- a/src/pondtiller/serve/systems/sample_reads.py
+++ b/src/pondtiller/serve/systems/sample_reads.py
@@ -37,7 +37,7 @@
     """Return the samples that follow each other from the cursor on."""
     samples: list[Sample] = []
     first = cursor if world.mechanisms.slot_cursor else step.cursor
-    for slot in step.slots[first : first + constants.SAMPLES_A_READ]:
+    for slot in step.slots[first : first + constants.SAMPLES_PER_READ]:
         if slot.sample is None:
             break
         samples.append(slot.sample)
--- a/src/pondtiller/serve/systems/steps.py
+++ b/src/pondtiller/serve/systems/steps.py
@@ -76,7 +76,7 @@
         world.do(RedirectTrainer(opened.call_id, home))
     elif world.draining:
         fail(world, opened.call_id, ErrorKind.DRAINING)
-    elif _open_count(world, opened.key.trainer) >= constants.OPEN_STEPS_A_TRAINER:
+    elif _open_count(world, opened.key.trainer) >= constants.OPEN_STEPS_PER_TRAINER:
         fail(world, opened.call_id, ErrorKind.QUEUE_FULL, "too many steps are open")
     else:
         _start_step(world, opened, row.model, fingerprint, now)
--- a/src/pondtiller/serve/systems/steward.py
+++ b/src/pondtiller/serve/systems/steward.py
@@ -23,7 +23,7 @@
 measured."""
 PREFETCH = "prefetch"
 ACTIVATE = "activate"
-FENCES_AN_EPOCH = 1_000_000
+FENCES_PER_EPOCH = 1_000_000
 """Fences of one epoch of the register's shard: a shard that lost its memory and starts empty in a
 later epoch still gives higher ones. Chosen: far more than orders in the life of an epoch."""
 FAILURE_BACKOFF = Backoff(first=0.5, maximum=5.0)
@@ -155,7 +155,7 @@
     key = constants.STEWARD_PREFIX + name
     shard = world.proposer.configuration.shard_of(key)
     # A shard that was reset starts far above every fence that it gave before.
-    floor = shard.epoch * FENCES_AN_EPOCH if shard is not None else 0
+    floor = shard.epoch * FENCES_PER_EPOCH if shard is not None else 0
 
     def change(current: bytes) -> bytes:
         known = wire.StewardRecord().parse(current)
--- a/src/pondtiller/serve/systems/store.py
+++ b/src/pondtiller/serve/systems/store.py
@@ -103,7 +103,7 @@
 
 def _is_watcher(world: World) -> bool:
     ranked = rank(f"watch/{world.zone}", world.membership.live_names_in(world.zone))
-    return world.name in ranked[: constants.WATCHERS_A_ZONE]
+    return world.name in ranked[: constants.WATCHERS_PER_ZONE]
 
 
 def _write_again(world: World) -> None:
--- a/src/pondtiller/soak/caller_rules.py
+++ b/src/pondtiller/soak/caller_rules.py
@@ -11,7 +11,7 @@
 must be refused or wait. Chosen, not measured."""
 RATE_EXCESS = 0.1
 """Part of the rate that gateways may admit beyond it; the programs' settings say the same."""
-MOST_IN_A_WINDOW = 6
+MAX_PER_WINDOW = 6
 """Whole requests of the rate with its excess."""
 WINDOW_SECONDS = 1.0
 """The rate is a number of requests in any second."""
@@ -46,7 +46,7 @@
             self._spans.popleft()
         self._spans.append((sent, now))
         within = sum(sent > now - WINDOW_SECONDS for sent, _ in self._spans)
-        if within > MOST_IN_A_WINDOW:
+        if within > MAX_PER_WINDOW:
             detail = f"{within} sent and begun within a second, {identifier} the last"
             self._promises.breach("a tenant's rate holds over all gateways", detail)
 
--- a/src/pondtiller/soak/ending_rules.py
+++ b/src/pondtiller/soak/ending_rules.py
@@ -9,7 +9,7 @@
 """Ends under one content after which its further runs are counted."""
 KNOWN_SECONDS = 3.0
 """From the last of these ends until whoever acts must know of them."""
-MOST_LATER = 3
+MAX_LATER = 3
 """Runs after that, of all programs that could know."""
 
 
@@ -55,7 +55,7 @@
             for each in runs[ENDS:]
             if each.at > known_at and each.at > each.could_know_since + KNOWN_SECONDS
         ]
-        if len(later) > MOST_LATER:
+        if len(later) > MAX_LATER:
             detail = f"{content!r}: {len(later)} runs more, the last sent by {run.opener}"
             self._promises.breach("a content that ends engines is held back", detail)
 
--- a/src/pondtiller/soak/kernel.py
+++ b/src/pondtiller/soak/kernel.py
@@ -9,7 +9,7 @@
 
 import curio
 
-MOST_ROUNDS = 5
+MAX_ROUNDS = 5
 """Shutdowns of one kernel. Each cancels what was started during the one before."""
 
 
@@ -19,9 +19,9 @@
     Raises
     ------
     AssertionError
-        Where tasks are started in each of `MOST_ROUNDS` rounds; it names these of the last one.
+        Where tasks are started in each of `MAX_ROUNDS` rounds; it names these of the last one.
     """
-    for _ in range(MOST_ROUNDS - 1):
+    for _ in range(MAX_ROUNDS - 1):
         try:
             kernel.run(shutdown=True)
             return
--- a/src/pondtiller/soak/proxy.py
+++ b/src/pondtiller/soak/proxy.py
@@ -18,7 +18,7 @@
 POLL_SECONDS = 0.05
 """How often a silent proxy looks whether it may go on, in seconds: what waits is late by this at
 most. Chosen, not measured."""
-END_LOOK_SECONDS = 0.01
+END_CHECK_SECONDS = 0.01
 """How often a proxy looks whether its engine has ended or is back, in seconds. Its port must refuse
 within a few of these, as the port of a process that ends does. Chosen, not measured."""
 HEALED_SECONDS = 1.0
@@ -107,7 +107,7 @@
 
     async def _wait_until(self, is_true: Callable[[], bool]) -> None:
         while not is_true():
-            await curio.sleep(END_LOOK_SECONDS)
+            await curio.sleep(END_CHECK_SECONDS)
 
     async def _serve(self, group: Spawner, stream: Any, port: int) -> None:
         """Serve a connection; it is closed also where the proxy ends as the target is opened."""
--- a/src/pondtiller/soak/run.py
+++ b/src/pondtiller/soak/run.py
@@ -49,15 +49,15 @@
 START_SECONDS = 3.0
 """From the start of the programs to the first calls, in seconds: six processes start, and one
 of the gateways is elected. Chosen, not measured."""
-REACH_LOOK_SECONDS = 0.05
+REACH_CHECK_SECONDS = 0.05
 """How often it is noted which programs reach the store, in seconds: little beside the 3 s that the
 rule about ending contents gives them."""
 CALM_SECONDS = 25.0
 """Longest wait after the last fault for all results, in seconds. The soak's steps have 7.5 s a run;
 it ends as soon as all are there. Chosen, not measured."""
-CALM_LOOK_SECONDS = 0.5
+CALM_CHECK_SECONDS = 0.5
 """How often it is looked whether all results are there."""
-LONGEST_CALL_SECONDS = WATCH_SECONDS + WATCH_MARGIN_SECONDS
+MAX_CALL_SECONDS = WATCH_SECONDS + WATCH_MARGIN_SECONDS
 """Longest call for changes of what has no bound of its own."""
 LISTED_OBJECTS = 100
 """Objects in a page of the store: all of a kind at once, since the soak is not about pages."""
@@ -168,7 +168,7 @@
 
     def _could_know_contents_since(self, name: str) -> float:
         """Return the same for what is followed with long calls, which may get no answer."""
-        return max(self._could_know_since(name), self.store.silenced_at + LONGEST_CALL_SECONDS)
+        return max(self._could_know_since(name), self.store.silenced_at + MAX_CALL_SECONDS)
 
     def _has_begun(self, identifier: str) -> bool:
         return any(identifier in each.begun for each in self.apps)
@@ -176,7 +176,7 @@
     async def _watch_store(self) -> None:
         while True:
             self.reach.look([each.spec.name for each in self.programs], clock.monotonic())
-            await curio.sleep(REACH_LOOK_SECONDS)
+            await curio.sleep(REACH_CHECK_SECONDS)
 
     # The run
 
@@ -225,7 +225,7 @@
         self.faults.heal()
         give_up = clock.monotonic() + CALM_SECONDS
         while clock.monotonic() < give_up and self.trainer.has_unfinished():
-            await curio.sleep(CALM_LOOK_SECONDS)
+            await curio.sleep(CALM_CHECK_SECONDS)
         await self.trainer.read_all()
 
     def _report(self) -> SoakReport:
--- a/src/pondtiller/soak/tests/test_callers.py
+++ b/src/pondtiller/soak/tests/test_callers.py
@@ -8,7 +8,7 @@
 
 from pondtiller.address import to_address
 from pondtiller.process.spawner import Spawner
-from pondtiller.soak.caller_rules import MOST_IN_A_WINDOW
+from pondtiller.soak.caller_rules import MAX_PER_WINDOW
 from pondtiller.soak.callers import Callers
 from pondtiller.soak.calls import Calls
 from pondtiller.soak.promises import Promises
@@ -35,12 +35,12 @@
 
 
 async def above_the_rate(callers: Callers) -> None:
-    for number in range(MOST_IN_A_WINDOW + 1):
+    for number in range(MAX_PER_WINDOW + 1):
         await callers._call_with_rate(f"t{number}")
 
 
 async def at_the_rate(callers: Callers) -> None:
-    for number in range(MOST_IN_A_WINDOW):
+    for number in range(MAX_PER_WINDOW):
         await callers._call_with_rate(f"t{number}")
 
 
--- a/src/pondtiller/soak/tests/test_ending_rules.py
+++ b/src/pondtiller/soak/tests/test_ending_rules.py
@@ -8,7 +8,7 @@
 from pondtiller.httpio.server import bind_tcp
 from pondtiller.soak.ending_rules import (
     KNOWN_SECONDS,
-    MOST_LATER,
+    MAX_LATER,
     EndingRule,
     EndingRun,
     StoreReach,
@@ -31,12 +31,12 @@
 
 def test_runs_until_all_can_know_and_a_few_more_break_nothing() -> None:
     early = [0.0, 0.1, 0.2, *(0.2 + 0.1 * number for number in range(20))]
-    late = [10.0 + number for number in range(MOST_LATER)]
+    late = [10.0 + number for number in range(MAX_LATER)]
     assert play([*early, *late]).breaches == []
 
 
 def test_one_run_too_many_is_seen() -> None:
-    late = [10.0 + number for number in range(MOST_LATER + 1)]
+    late = [10.0 + number for number in range(MAX_LATER + 1)]
     (breach,) = play([0.0, 0.1, 0.2, *late]).breaches
     assert breach.promise == "a content that ends engines is held back"
 
--- a/src/pondtiller/soak/tests/test_kernel.py
+++ b/src/pondtiller/soak/tests/test_kernel.py
@@ -3,7 +3,7 @@
 import curio
 import pytest
 
-from pondtiller.soak.kernel import MOST_ROUNDS, shut_down
+from pondtiller.soak.kernel import MAX_ROUNDS, shut_down
 
 
 async def start_another(rounds: int) -> None:
@@ -32,6 +32,6 @@
 
 def test_tasks_that_are_started_again_and_again_are_named() -> None:
     with curio.Kernel() as kernel:
-        kernel.run(start_first, MOST_ROUNDS)
+        kernel.run(start_first, MAX_ROUNDS)
         with pytest.raises(AssertionError, match="start_another"):
             shut_down(kernel)
--- a/src/pondtiller/soak/trainer.py
+++ b/src/pondtiller/soak/trainer.py
@@ -20,7 +20,7 @@
 between two events."""
 STEP_SECONDS = 2.0
 """Between two steps, in seconds. Chosen, not measured: a few steps are open at any time."""
-STEPS_A_VERSION = 2
+STEPS_PER_VERSION = 2
 """Steps between two new versions: samples of the older one are still at work when it comes."""
 SUBMIT_TRIES = 8
 """Tries of one submission, after which the trainer goes on with the next step."""
@@ -76,7 +76,7 @@
             if is_accepted:
                 await self._group.spawn(self._follow, step)
             await curio.sleep(STEP_SECONDS)
-            if number % STEPS_A_VERSION == 0:
+            if number % STEPS_PER_VERSION == 0:
                 self._version += 1
                 spec = {"model": "m", "version": self._version}
                 self._store.put(names.VERSIONS_NAMED, "m", spec)
--- a/src/pondtiller/standins/store.py
+++ b/src/pondtiller/standins/store.py
@@ -11,7 +11,7 @@
 from pondtiller.process import clock
 from pondtiller.standins.listening import StandIn, listen_on_loopback
 
-LOOK_SECONDS = 0.02
+CHECK_SECONDS = 0.02
 """How often a waiting watch looks for changes; chosen, not measured."""
 
 
@@ -152,7 +152,7 @@
             seen = self.revision
             if found or clock.monotonic() >= until:
                 break
-            await curio.sleep(LOOK_SECONDS)
+            await curio.sleep(CHECK_SECONDS)
         events = [{"object": each.object, "gone": each.is_gone} for each in found]
         await exchange.respond(json_response(200, {"events": events, "at": seen}))
 
--- a/src/pondtiller/steplog/deferred.py
+++ b/src/pondtiller/steplog/deferred.py
@@ -1,6 +1,6 @@
-"""Values that a new leader reads only once it leads. No I/O.
+"""Values that a new leader reads only after its takeover. No I/O.
 
-Owns which are still to be read, for one term. Which values may wait is decided in
+Holds which values are still to be read, for one term. Which values may be deferred is decided in
 `takeover_reads.py`.
 """
 
@@ -9,15 +9,15 @@
 from pondtiller.steplog.entry import Entry
 
 PART_KEYS = 64
-"""Values in one message: as many as in one of a takeover (`takeover_reads.CHUNK_KEYS`), so that
-heartbeats and runs get through between them. Chosen, not measured."""
+"""Values in one message, as in a takeover (`takeover_reads.CHUNK_KEYS`), so that heartbeats and run
+messages are sent between them."""
 UNANSWERED_SECONDS = 1.0
-"""After this a part is asked for again, from another replica. Chosen, not measured: nothing waits
-for it but readers of steps that have ended."""
+"""Time after which a part is requested again, from another replica. Only readers of steps that have
+ended wait for it."""
 
 
 class DeferredValues:
-    """Which values are still to be read, and the request under way.
+    """Values that are still to be read, and the request in progress.
 
     Attributes
     ----------
@@ -32,20 +32,20 @@
         self._turn = 0
 
     def drop(self, key: str) -> None:
-        """Forget a value that is written anew or removed."""
+        """Remove a value that was rewritten or deleted."""
         self.epochs.pop(key, None)
 
     def link_lost(self, link: int) -> None:
-        """Take the end of a link; what it was asked for is asked for again."""
+        """Handle the end of a link; its request is repeated."""
         if link == self._asked_link:
             self._asked_link = None
 
     def is_lacked_by(self, held: Mapping[str, int]) -> bool:
-        """Return whether a replica that holds some keys lacks one of the values."""
+        """Return whether a replica that has some keys lacks one of the values."""
         return any(held.get(key, -1) < epoch for key, epoch in self.epochs.items())
 
     def next_request(self, links: list[int], now: float) -> tuple[int, list[str]] | None:
-        """Return whom to ask for which keys; None while a request is under way or nothing lacks."""
+        """Return which link to ask for which keys; None during a request or if nothing is left."""
         is_asked = self._asked_link is not None and now < self._asked_at + UNANSWERED_SECONDS
         if not self.epochs or not links or is_asked:
             return None
@@ -54,8 +54,8 @@
         keys = [key for key, _ in zip(self.epochs, range(PART_KEYS), strict=False)]
         return self._asked_link, keys
 
-    def take(self, entries: Iterable[Entry]) -> list[Entry]:
-        """Take an answer; return the values that were waited for."""
+    def pop_awaited(self, entries: Iterable[Entry]) -> list[Entry]:
+        """Process an answer; return the awaited values."""
         self._asked_link = None
         found = [entry for entry in entries if self.epochs.get(entry.key) == entry.epoch]
         for entry in found:
--- a/src/pondtiller/steplog/entry.py
+++ b/src/pondtiller/steplog/entry.py
@@ -1,4 +1,4 @@
-"""One key's value in the step log, and many of them as they are sent and stored."""
+"""Entries of the step log, and their columnar form in messages and files."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -26,5 +26,5 @@
 
 
 def unpack_entries(packed: Entries) -> Iterator[Entry]:
-    """Return the entries of columns; raises `ValueError` where these do not fit."""
+    """Return the entries of columns; raises `ValueError` if their lengths differ."""
     return map(Entry._make, zip(packed.keys, packed.epochs, packed.values, strict=True))
--- a/src/pondtiller/steplog/fault_tolerance.py
+++ b/src/pondtiller/steplog/fault_tolerance.py
@@ -1,8 +1,8 @@
-"""What may be lost at one time, and whether a group of replicas bears it. No I/O.
+"""Which simultaneous losses a group of replicas tolerates. No I/O.
 
-A group bears a loss where the members that are left are a write quorum of the whole group: then
-no acknowledged value is gone, and writes go on. Machines, zones and regions are each counted
-alone: the settings name so many machines, or so many zones, or so many regions.
+A group tolerates a loss if the remaining members are a write quorum of the whole group: no
+acknowledged value is lost then, and writes continue. Machines, zones and regions are counted
+separately: the settings name so many machines, or so many zones, or so many regions.
 """
 
 from collections import Counter
@@ -15,14 +15,14 @@
 
 
 class Tolerance(NamedTuple):
-    """What may be lost at one time with all promises kept.
+    """Simultaneous losses that must be tolerated.
 
     Attributes
     ----------
     machines
         Replicas with their disks.
     zones, regions
-        Whole ones, each with all of its replicas.
+        Whole zones or regions, each with all of its replicas.
     """
 
     machines: int = 1
@@ -31,36 +31,36 @@
 
     @property
     def smallest_size(self) -> int:
-        """Fewest members of a group that can bear it, where there are places enough."""
+        """Smallest group that can tolerate it, given enough zones and regions."""
         return 2 * max(self.machines, self.zones, self.regions) + 1
 
 
-class PlaceRules(NamedTuple):
-    """What a choice of members follows: the losses to be borne, and where zones lie."""
+class GroupRules(NamedTuple):
+    """Rules for the choice of members: the losses to tolerate, and the regions of zones."""
 
     tolerance: Tolerance = Tolerance()
-    places: Topology = Topology()
+    topology: Topology = Topology()
 
 
-USUAL_RULES = PlaceRules()
-"""One replica may be lost; no places are known."""
+DEFAULT_RULES = GroupRules()
+"""One replica may be lost; no regions are known."""
 
 
-def shortfall(members: Iterable[GroupMember], size: int, rules: PlaceRules) -> int:
-    """Return how many members more would have to be left after the losses; 0 where all is borne.
+def shortfall(members: Iterable[GroupMember], size: int, rules: GroupRules) -> int:
+    """Return how many additional members would have to survive the losses; 0 if all are tolerated.
 
     Parameters
     ----------
     members
-        Those that there are, or are to be.
+        Present or planned members.
     size
-        Of the whole group, which sets the quorum.
+        Size of the whole group, which determines the quorum.
     """
     present = list(members)
     tolerance, quorum = rules.tolerance, write_quorum(size)
     lost_with_machines = min(tolerance.machines, len(present))
     lost_with_zones = _largest((each.zone for each in present), tolerance.zones)
-    regions = (_region(each.zone, rules.places) for each in present)
+    regions = (_region(each.zone, rules.topology) for each in present)
     lost_with_regions = _largest(regions, tolerance.regions)
     left = [
         len(present) - each for each in (lost_with_machines, lost_with_zones, lost_with_regions)
@@ -75,14 +75,14 @@
 
 
 def home_region(
-    members: Sequence[GroupMember], candidates: Iterable[GroupMember], rules: PlaceRules
+    members: Sequence[GroupMember], candidates: Iterable[GroupMember], rules: GroupRules
 ) -> str:
-    """Return the region in which a majority of the members is to be; empty where there is none.
+    """Return the region that should have a majority of the members; empty if there is none.
 
-    Where no region's loss is to be borne, a majority in one region spares each write the way to
-    another. It is the region of most members, so that it stays, and else that of most replicas.
+    If no loss of a region must be tolerated, a majority in one region saves each write a round trip
+    to another. It is the region of most members, so that it stays, then that of most replicas.
     """
-    places = rules.places
+    places = rules.topology
     if rules.tolerance.regions or len(set(places.regions.values())) < 2:
         return ""
     of_members = Counter(places.region(each.zone) for each in members)
@@ -91,8 +91,8 @@
     return max(named, key=lambda each: (of_members[each], of_candidates[each]))
 
 
-def lacks_at_home(members: Iterable[GroupMember], size: int, home: str, places: Topology) -> int:
-    """Return how many members the home region lacks to have a write quorum."""
+def missing_at_home(members: Iterable[GroupMember], size: int, home: str, places: Topology) -> int:
+    """Return how many members the home region lacks for a write quorum."""
     if not home:
         return 0
     at_home = sum(places.region(each.zone) == home for each in members)
@@ -105,5 +105,5 @@
 
 
 def _region(zone: str, places: Topology) -> str:
-    """Return a zone's region; one that the settings do not name is a region of its own."""
+    """Return a zone's region; a zone that the settings do not name is a region of its own."""
     return places.region(zone) or (zone if places.regions else "")
--- a/src/pondtiller/steplog/follower.py
+++ b/src/pondtiller/steplog/follower.py
@@ -1,16 +1,17 @@
 """A replica as the leader sees it. No I/O.
 
-Owns what one replica was asked and has answered; lasts as long as its link, most of it for a term.
+Holds what one replica was asked and has answered, as long as its link lasts; most of it is reset
+with each term.
 """
 
 from dataclasses import dataclass, field
 
 from pondtiller.wire.steplog import GroupMember
 
-PART_OF_WRITES = -1
-"""In place of a write's number: the message completes none."""
+PARTIAL_WRITES = -1
+"""Used as a write's number: the message completes no write."""
 HEARTBEAT = -2
-"""In place of a write's number: the message only renews the lease."""
+"""Used as a write's number: the message only renews the lease."""
 
 
 @dataclass
@@ -20,7 +21,7 @@
     Attributes
     ----------
     keys
-        Epoch of each key that it holds, as its promise said; None until it promised.
+        Epoch of each key that it has, from its promise; None until it promised.
     is_synced
         Whether it was sent everything, and gets every write.
     acked
@@ -28,12 +29,12 @@
     is_asked
         Whether it was asked for a promise in this term.
     waiting
-        Number and time of sending of each message that it has not answered; the number is of
-        the last write that it completes, or says that it completes none.
+        Number and sending time of each unanswered message; the number is of the last write that it
+        completes, or one of the constants above.
     lease_from
-        When the last message was sent that it answered with consent, on the steady clock.
+        Sending time of the last message that it accepted, in monotonic time.
     last_sent
-        When any message was sent, on the steady clock.
+        Sending time of the last message, in monotonic time.
     """
 
     link: int
@@ -53,25 +54,25 @@
         return self.keys is not None
 
     def reset(self) -> None:
-        """Forget a term."""
-        self.leave()
+        """Reset the state of a term."""
+        self.exclude()
         self.waiting = []
         self.lease_from = float("-inf")
 
-    def leave(self) -> None:
-        """Count for nothing until it is asked for a promise again."""
+    def exclude(self) -> None:
+        """Exclude it until it is asked for a promise again."""
         self.is_asked = False
         self.keys = None
         self.is_synced = False
         self.acked = -1
 
-    def sent(self, number: int, now: float) -> None:
-        """Take that a message was sent that is to be answered."""
+    def note_sent(self, number: int, now: float) -> None:
+        """Record that a message was sent that must be answered."""
         self.waiting.append((number, now))
         self.last_sent = now
 
-    def consented(self) -> int:
-        """Take that the oldest message was answered with consent; return its write's number."""
+    def pop_consent(self) -> int:
+        """Record that the oldest message was accepted; return its write's number."""
         if not self.waiting:
             return -1
         number, sent_at = self.waiting.pop(0)
--- a/src/pondtiller/steplog/group.py
+++ b/src/pondtiller/steplog/group.py
@@ -1,10 +1,10 @@
 """Groups of replicas and their quorums.
 
-A group of n replicas writes to a majority w, and is read through r = n - w + 1 of them, so
-that every read meets every write. A replica counts by its disk, not by its name: one that
+A group of n replicas writes to a majority w, and is read through r = n - w + 1 of them, so that
+every read intersects every write. A replica is identified by its disk, not by its name: one that
 lost its disk is another replica, and its old disk is known to be lost.
 
-Owns nothing. Which members a group should have is decided in `group_policy.py`.
+Which members a group should have is decided in `group_policy.py`.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,9 +13,9 @@
 from pondtiller.wire.steplog import Group, GroupMember
 
 GROUP_PREFIX = "group/"
-SMALLEST_GROUP = 2
-"""Members that a group keeps when one is to be emptied and no spare is there: with one member the
-loss of a disk loses what was accepted. Not measured; it follows from that."""
+MIN_GROUP = 2
+"""Members that a group keeps when one is drained and there is no spare: with one member the loss of
+a disk loses accepted values."""
 
 
 def write_quorum(size: int) -> int:
@@ -24,7 +24,7 @@
 
 
 def read_quorum(size: int) -> int:
-    """Return how many of `size` replicas meet every write quorum."""
+    """Return how many of `size` replicas intersect every write quorum."""
     return size - write_quorum(size) + 1
 
 
@@ -34,28 +34,28 @@
 
 
 def has_read_quorum(group: Group, answered: set[str]) -> bool:
-    """Return whether the disks that answered meet every write of the group."""
+    """Return whether the disks that answered intersect every write of the group."""
     return len(disks(group) & answered) >= read_quorum(len(group.members))
 
 
 def has_write_quorum(group: Group, written: set[str], lost: set[str]) -> bool:
     """Return whether enough disks of the group hold a value.
 
-    Disks known to be lost can neither hold a value nor answer a later read, so no more than
-    the remaining ones are asked for.
+    Disks known to be lost can neither hold a value nor answer a later read, so no more than the
+    remaining ones are required.
     """
     return quorum_number(group, dict.fromkeys(written, 0), lost) == 0
 
 
 def quorum_number(group: Group, acked: Mapping[str, int], lost: set[str]) -> int:
-    """Return the highest write that a write quorum of a group's disks has; -1 where none has.
+    """Return the highest write that a write quorum of a group's disks has; -1 if there is none.
 
     Parameters
     ----------
     acked
         Number of the last write on each disk, by disk.
     lost
-        As `has_write_quorum` takes it.
+        As for `has_write_quorum`.
     """
     members = disks(group)
     wanted = min(write_quorum(len(members)), len(members - lost))
@@ -75,7 +75,7 @@
 
 
 def member_named(group: Group, name: str) -> GroupMember | None:
-    """Return a group's member by its name, or None where there is none."""
+    """Return a group's member by its name, or None if there is none."""
     for member in group.members:
         if member.name == name:
             return member
