--- a/src/pondtiller/steplog/group_policy.py
+++ b/src/pondtiller/steplog/group_policy.py
@@ -1,50 +1,47 @@
-"""Which replicas should form the group: replaces what is gone, fills up, empties what retires.
+"""Which replicas should form the group: replaces lost members, fills up, drains retiring ones.
 
-No I/O; owns nothing. What a set of members bears is in `fault_tolerance.py`; the change itself is
-written by `leader.py`.
+Stateless, no I/O. Which losses a set of members tolerates is computed in `fault_tolerance.py`; the
+change itself is written by `leader.py`.
 """
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
 from pondtiller.steplog.fault_tolerance import (
-    USUAL_RULES,
-    PlaceRules,
+    DEFAULT_RULES,
+    GroupRules,
     home_region,
-    lacks_at_home,
+    missing_at_home,
     shortfall,
     zone_crowding,
 )
-from pondtiller.steplog.group import SMALLEST_GROUP
+from pondtiller.steplog.group import MIN_GROUP
 from pondtiller.wire.steplog import Group, GroupMember
 
 MISSING_SECONDS = 1.0
-"""How long a member is gone before a spare takes its place.
-
-Chosen, not measured: a replica whose process starts again is not replaced (files of 16 MB to 26 MB
-were read 0.57 s to 0.65 s after their machines' return), as a spare needs the whole log over its
-link; meanwhile the group bears one loss less."""
+"""How long a member is gone before a spare replaces it. A restarted replica is not replaced within
+this time (files of 16 MB to 26 MB were read 0.57 s to 0.65 s after their machines returned), since
+a spare needs the whole log over its link; meanwhile the group tolerates one loss less."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupInputs:
-    """What decides about a change.
+    """Inputs of the decision about a change.
 
     Attributes
     ----------
     synced
-        Connected replicas that hold everything.
+        Connected replicas that have everything.
     connected
         All connected replicas.
     missing_since
-        For members that are not connected, when that was noticed, by name; in seconds of the steady
-        clock, as `now` is.
+        For disconnected members, when that was noticed, by name; in monotonic seconds, as `now`.
     retiring
-        Names of replicas that are to be emptied, or are.
+        Names of replicas that are to be drained, or are.
     wanted_size
-        Replicas that a group should have: twice the losses to be borne, and one.
+        Replicas that a group should have: twice the tolerated losses, plus one.
     rules
-        Which losses the group is to bear, and where zones lie.
+        Losses that the group must tolerate, and the regions of zones.
     """
 
     group: Group
@@ -53,11 +50,11 @@
     retiring: frozenset[str]
     wanted_size: int
     connected: tuple[GroupMember, ...] = ()
-    rules: PlaceRules = USUAL_RULES
+    rules: GroupRules = DEFAULT_RULES
 
 
 def spare_to_admit(inputs: GroupInputs, now: float) -> GroupMember | None:
-    """Return the replica that is to be brought up to date, so that it can become a member."""
+    """Return the replica that should be brought up to date, so that it can become a member."""
     members = list(inputs.group.members)
     staying = [each for each in members if not _should_go(inputs, each, now)]
     spares = _spares(inputs, inputs.connected, members)
@@ -71,10 +68,10 @@
 
 
 def next_members(inputs: GroupInputs, now: float) -> list[GroupMember] | None:
-    """Return the members of the next group, or None where the present one is right.
+    """Return the members of the next group, or None if the present group is right.
 
-    One member changes at a time. Where the members do not bear the losses that they should,
-    though all are there, a spare takes the place of one of them.
+    One member changes at a time. If the members do not tolerate the losses that they should
+    although all are present, a spare replaces one of them.
     """
     members = list(inputs.group.members)
     by_name = {member.name: member for member in inputs.synced}
@@ -90,7 +87,7 @@
         if spares:
             best = _best(spares, staying, len(members), inputs.rules, members)
             return [*members[:place], best, *members[place + 1 :]]
-        if member.name in inputs.retiring and len(members) > SMALLEST_GROUP:
+        if member.name in inputs.retiring and len(members) > MIN_GROUP:
             return [*members[:place], *members[place + 1 :]]
     if len(members) < inputs.wanted_size and spares:
         return [*members, _best(spares, staying, inputs.wanted_size, inputs.rules, members)]
@@ -98,12 +95,12 @@
 
 
 def first_members(
-    candidates: tuple[GroupMember, ...], wanted_size: int, rules: PlaceRules | None = None
+    candidates: tuple[GroupMember, ...], wanted_size: int, rules: GroupRules | None = None
 ) -> list[GroupMember] | None:
     """Return the members of the first group, spread over zones; None while there are too few."""
     if len(candidates) < wanted_size:
         return None
-    rules = rules or USUAL_RULES
+    rules = rules or DEFAULT_RULES
     chosen: list[GroupMember] = []
     left = sorted(candidates, key=lambda each: each.name)
     while len(chosen) < wanted_size:
@@ -138,27 +135,27 @@
     spares: list[GroupMember],
     staying: list[GroupMember],
     size: int,
-    rules: PlaceRules,
+    rules: GroupRules,
     members_now: Sequence[GroupMember],
 ) -> GroupMember:
-    """Return the spare with which a group of a size bears most, and is spread most evenly.
+    """Return the spare with which a group of a size tolerates most, and is spread most evenly.
 
-    A majority of the members stays in the region in which it is now, also when one goes.
+    A majority of the members stays in its present region, also when one leaves.
     """
     home = home_region(members_now, [*staying, *spares], rules)
 
     def cost(spare: GroupMember) -> tuple[int, int, int, str]:
         members = [*staying, spare]
-        lacking = lacks_at_home(members, size, home, rules.places)
+        lacking = missing_at_home(members, size, home, rules.topology)
         return shortfall(members, size, rules), lacking, zone_crowding(members), spare.name
 
     return min(spares, key=cost)
 
 
 def _repaired(inputs: GroupInputs, spares: list[GroupMember]) -> list[GroupMember] | None:
-    """Return the members with one exchanged, so that they bear more; None where none is needed.
+    """Return the members with one exchanged, so that they tolerate more; None if not needed.
 
-    Only while all members are up to date: an exchange must not be what a quorum breaks on.
+    Only while all members are up to date: an exchange must not cost the quorum.
     """
     members = list(inputs.group.members)
     synced = {each.name for each in inputs.synced}
@@ -168,12 +165,12 @@
 
 
 def _swapped(
-    members: list[GroupMember], spares: list[GroupMember], rules: PlaceRules
+    members: list[GroupMember], spares: list[GroupMember], rules: GroupRules
 ) -> list[GroupMember] | None:
-    """Return the best exchange of one member, where the members do not bear what they should.
+    """Return the best exchange of one member if the members do not tolerate what they should.
 
-    Each exchange makes the same figures smaller, so there is a last one: also where no choice
-    bears everything.
+    Each exchange reduces the same cost, so repeated exchanges end even if no choice tolerates
+    everything.
     """
     best, best_cost = None, _repair_cost(members, rules)
     if not best_cost[0]:
@@ -187,11 +184,11 @@
     return best
 
 
-def _repair_cost(members: list[GroupMember], rules: PlaceRules) -> tuple[int, int]:
+def _repair_cost(members: list[GroupMember], rules: GroupRules) -> tuple[int, int]:
     return shortfall(members, len(members), rules), zone_crowding(members)
 
 
 def _unsynced(inputs: GroupInputs, members: Iterable[GroupMember]) -> GroupMember | None:
-    """Return the one that is to become a member and is not up to date yet, where there is one."""
+    """Return the future member that is not up to date yet, if there is one."""
     synced = {each.name for each in inputs.synced}
     return next((each for each in members if each.name not in synced), None)
--- a/src/pondtiller/steplog/holder.py
+++ b/src/pondtiller/steplog/holder.py
@@ -1,8 +1,8 @@
 """Who may order engines: the last gateway that claimed it in the log.
 
-A gateway's first order in a term comes after its claim is committed. So the last claim in the
-log names the only gateway that can have given the latest orders, and where that gateway leads
-again there is nobody's late order to wait for.
+A gateway's first order in a term comes after its claim is committed. The last claim in the log thus
+names the only gateway that can have sent the latest orders, and if that gateway becomes the leader
+again, there are no late orders of others to wait for.
 """
 
 from collections.abc import Iterable
@@ -18,12 +18,12 @@
 
 
 def holder_of(entries: Iterable[Entry]) -> str:
-    """Return the gateway of the last claim among entries; empty where there is none."""
+    """Return the gateway of the last claim among entries; empty if there is none."""
     claims = [entry for entry in entries if entry.key.startswith(HOLDER_PREFIX)]
     last = max(claims, key=lambda entry: entry.key, default=None)
     return last.value.decode() if last is not None else ""
 
 
 def older_claims(key: str, keys: Iterable[str]) -> list[str]:
-    """Return the claims among some keys that are older than one."""
+    """Return the claims among some keys that are older than a given claim."""
     return [each for each in keys if each.startswith(HOLDER_PREFIX) and each < key]
--- a/src/pondtiller/steplog/instructions.py
+++ b/src/pondtiller/steplog/instructions.py
@@ -1,4 +1,4 @@
-"""What a leader of the step log tells its driver, and the phases that it goes through."""
+"""Instructions of the step log's leader to its driver, and the phases of a term."""
 
 from enum import Enum, StrEnum
 from typing import NamedTuple
@@ -15,19 +15,19 @@
     message: Prepare | Fetch | Append | Resign
 
 
-class Won(NamedTuple):
-    """The gateway leads now.
+class ElectionWon(NamedTuple):
+    """The gateway is the leader now.
 
     Attributes
     ----------
     entries
-        Everything that the log holds, but for groups, claims and notes of orders.
+        Everything in the log except groups, claims and notes of orders.
     order_holder
-        Gateway of the last claim to order engines; empty where there is none.
+        Gateway of the last claim to order engines; empty if there is none.
     last_orders
-        The last order of each engine, by the place where it is reached.
+        The last order of each engine, by its address.
     deferred
-        Keys of values that follow as `Loaded`.
+        Keys of values that follow as `DeferredLoaded`.
     """
 
     epoch: int
@@ -37,8 +37,8 @@
     deferred: tuple[str, ...] = ()
 
 
-class Loaded(NamedTuple):
-    """Values that were left for later have been read."""
+class DeferredLoaded(NamedTuple):
+    """Deferred values have been read."""
 
     entries: tuple[Entry, ...]
 
@@ -49,24 +49,24 @@
     key: str
 
 
-class StandDown(StrEnum):
-    """Why a leader or a candidate gave up; the value is what `leader_ended` logs as `reason`.
+class StepDownReason(StrEnum):
+    """Why a leader or a candidate stepped down; `leader_ended` logs the value as `reason`.
 
     Attributes
     ----------
     REPLICA_LOST
-        The link to a replica ended that owed values of the log.
+        The link to a replica ended before it had returned values of the log.
     PROMISE_REFUSED
         A replica follows another leader, or promised a higher epoch.
     VALUE_LACKED
         A replica's answer lacks a value that its promise named.
     HIGHER_EPOCH
-        A replica refused a write: it promised another candidate.
+        A replica refused a write since it promised another candidate.
     TAKEOVER_TOO_LONG
-        Nothing brought the takeover on for `TAKEOVER_SECONDS`.
+        The takeover made no progress for `TAKEOVER_SECONDS`.
     LEASE_ENDED
-        No write quorum answered in time: the leader's replicas do not hear it, while other
-        gateways may.
+        No write quorum answered in time: the leader cannot reach its replicas, while other gateways
+        may.
     RESIGNED
         The process stops, or hands over.
     """
@@ -80,27 +80,27 @@
     RESIGNED = "resigned"
 
 
-class Deposed(NamedTuple):
-    """The gateway does not lead any more, or failed to take over.
+class SteppedDown(NamedTuple):
+    """The gateway is no longer the leader, or its takeover failed.
 
     Attributes
     ----------
     highest_epoch
-        Highest epoch that is known: a replica's where that ended the term, else the own one.
+        Highest known epoch: a replica's if that ended the term, otherwise the own one.
     wait_seconds
-        How long the lease lasts that stood against it; 0 where none did.
+        Remaining time of the lease that caused a refusal; 0 if there was none.
     """
 
-    reason: StandDown
+    reason: StepDownReason
     highest_epoch: int
     wait_seconds: float = 0.0
 
 
-Instruction = Send | Won | Loaded | Committed | Deposed
+Instruction = Send | ElectionWon | DeferredLoaded | Committed | SteppedDown
 
 
 class Phase(Enum):
-    """How far a leader is.
+    """Phase of a leader's term.
 
     Attributes
     ----------
@@ -111,9 +111,9 @@
     FETCHING
         It reads the values of the log.
     REWRITING
-        It writes again what no write quorum provably holds.
+        It rewrites what no write quorum provably has.
     LEADING
-        Takeover is complete; it stands down when its lease ends.
+        The takeover is complete; it steps down when its lease ends.
     """
 
     IDLE = "idle"
--- a/src/pondtiller/steplog/kept_texts.py
+++ b/src/pondtiller/steplog/kept_texts.py
@@ -1,45 +1,45 @@
 """Unfinished texts as replicas keep them for a leader's successor. No I/O.
 
-Losing one costs the time that it took to make, nothing else. They stand in the replica's file
-without a sync of their own: the next write of the log makes them durable too, so that most of
-them outlive also the end of all processes or a loss of power.
+Losing one only costs the time that it took to make. They are written to the replica's file without
+a sync of their own; the next write of the log makes them durable too, so that most of them survive
+the end of all processes or a power loss.
 """
 
 from collections.abc import Iterable
 
 from pondtiller.wire.steplog import SampleProgress
 
-MOST_TEXTS = 2000
-"""Texts that a replica keeps; the one not saved for longest gives way. Chosen, not measured: some
-40 KB a long text are 80 MB, and some hundred runs go on at a time."""
+MAX_TEXTS = 2000
+"""Texts that a replica keeps; the least recently saved one is dropped first. At 40 KB for a long
+text these are 80 MB, and some hundred runs are in progress at a time."""
 
 
 class KeptTexts:
-    """The texts of the samples that were saved last.
+    """Texts of the most recently saved samples.
 
     Attributes
     ----------
     by_sample
-        Texts by the sample's identifier, those saved last at the end.
+        Texts by the sample's identifier, the most recently saved last.
     """
 
     def __init__(self) -> None:
         self.by_sample: dict[str, SampleProgress] = {}
 
     def save(self, parts: Iterable[SampleProgress]) -> None:
-        """Take what is new of some texts; the texts not saved for longest give way."""
+        """Add new parts of some texts; the least recently saved texts are dropped."""
         for part in parts:
             whole = extend(self.by_sample.pop(part.id, None), part)
             if whole is not None:
                 self.by_sample[part.id] = whole
-        while len(self.by_sample) > MOST_TEXTS:
+        while len(self.by_sample) > MAX_TEXTS:
             del self.by_sample[next(iter(self.by_sample))]
 
     def longer(self, parts: Iterable[SampleProgress]) -> list[SampleProgress]:
-        """Return the whole texts among some that are longer than those kept.
+        """Return the complete texts among some that are longer than the kept ones.
 
-        A leader that was cut off hands its texts over when its lease ends, and the next one may
-        be promised its epoch while they are on their way.
+        A disconnected leader hands its texts over when its lease ends, and the next one may be
+        promised its epoch while they are in transit.
         """
         return [
             each
@@ -57,7 +57,7 @@
 
 
 def extend(kept: SampleProgress | None, news: SampleProgress) -> SampleProgress | None:
-    """Return a kept text with its news; None where events between them are missing."""
+    """Return a kept text extended by a new part; None if events between them are missing."""
     if not news.after_event:
         return news
     if kept is None or kept.last_event != news.after_event:
--- a/src/pondtiller/steplog/leader.py
+++ b/src/pondtiller/steplog/leader.py
@@ -1,15 +1,15 @@
 """The leader's side of the step log: the phases of a term, from a candidate to its end. No I/O.
 
-A driver connects to replicas, hands in what they answer, and carries out the instructions.
-Connections keep their order and are answered in order; one that breaks is handed in as lost.
+A driver connects to replicas, passes their answers, and executes the instructions. Connections are
+ordered and answered in order; a broken one is reported as lost.
 
-Takeover follows Paxos with one epoch for all keys: the candidate has a read quorum promise
-its epoch, takes each key's value of the highest epoch, and writes again what a write quorum
-does not provably hold. Only then it leads.
+The takeover follows Paxos with one epoch for all keys: the candidate has a read quorum promise its
+epoch, takes each key's value with the highest epoch, and rewrites what a write quorum does not
+provably have. Only then it leads.
 
-Owns the phase of a term, which ends with it; values and messages are `replication.py`'s, quorums
-`voting.py`'s, what is read first `takeover_reads.py`'s. The rules of its lease are in
-`term_rules.py`. When to stand, and which members a group should have, is decided by the driver.
+Holds the phase of a term; values and messages are in `replication.py`, quorums in `voting.py`, the
+reads of a takeover in `takeover_reads.py`, and the rules of its lease in `term_rules.py`. When to
+campaign, and which members a group should have, is decided by the driver.
 """
 
 from collections.abc import Callable, Collection
@@ -22,12 +22,12 @@
 from pondtiller.steplog.holder import HOLDER_PREFIX, holder_key, holder_of, older_claims
 from pondtiller.steplog.instructions import (
     Committed,
-    Deposed,
+    DeferredLoaded,
+    ElectionWon,
     Instruction,
-    Loaded,
     Phase,
-    StandDown,
-    Won,
+    StepDownReason,
+    SteppedDown,
 )
 from pondtiller.steplog.lease_renewal import LeaseRenewal, Moment
 from pondtiller.steplog.order_notes import ORDER_PREFIX, OrderNotes, older_notes
@@ -36,16 +36,16 @@
 from pondtiller.steplog.term_rules import (
     RefusedPromise,
     TermState,
-    is_takeover_over,
-    must_stand_down_on,
-    reason_to_stand_down,
+    is_takeover_complete,
+    must_step_down_on,
+    step_down_reason,
 )
 from pondtiller.steplog.voting import VotingGroups
 from pondtiller.wire.steplog import Appended, Fetched, Group, GroupMember, Promise
 
 EPOCH_ROUND = 1 << 32
-"""Distance of two epochs of one gateway: the lower 32 bits of an epoch are its identity, so no two
-candidates share one."""
+"""Distance between two epochs of one gateway: the lower 32 bits of an epoch are its identity, so
+that no two candidates share an epoch."""
 
 
 def next_epoch(highest: int, identity: int) -> int:
@@ -63,19 +63,19 @@
     Parameters
     ----------
     name, host, port
-        Under which other gateways find this leader.
+        Name and address at which other gateways find this leader.
     identity
         32-bit number of this process, for epochs.
-    may_wait
-        Returns which of some keys' values are not needed to lead: they are read afterwards.
+    may_defer
+        Returns which of some keys' values are not needed to lead; they are read afterwards.
 
     Attributes
     ----------
     admitted
-        Names of replicas that are brought up to date, to become members.
-    holds_back
-        Whether values that may wait are not read yet: what a new leader needs first is to have
-        its links and its processor. Ends with the leader's term.
+        Names of replicas that are brought up to date to become members.
+    defers_reads
+        Whether deferred values are not read yet, since a new leader first needs its links and its
+        processor for other work. Reset with the leader's term.
     """
 
     def __init__(
@@ -84,14 +84,14 @@
         host: str,
         port: int,
         identity: int,
-        may_wait: Callable[[Collection[str]], set[str]] = _no_keys,
+        may_defer: Callable[[Collection[str]], set[str]] = _no_keys,
     ) -> None:
         self.phase = Phase.IDLE
-        self.holds_back = False
+        self.defers_reads = False
         self.admitted: set[str] = set()
         self._name = name
         self._identity = identity
-        self._may_wait = may_wait
+        self._may_defer = may_defer
         self._replication = Replication(name, host, port)
         self._groups = VotingGroups()
         self._notes = OrderNotes()
@@ -101,11 +101,11 @@
         self._hint = Group()
         self._advanced_at = 0.0
 
-    def take(self) -> list[Instruction]:
+    def pop_instructions(self) -> list[Instruction]:
         """Return the instructions since the last call."""
-        return self._replication.take()
+        return self._replication.pop_instructions()
 
-    # State
+    # State of the term
 
     @property
     def epoch(self) -> int:
@@ -114,12 +114,12 @@
 
     @property
     def entries(self) -> dict[str, Entry]:
-        """All values by key, but for those that are read later."""
+        """All values by key, except deferred ones."""
         return self._replication.entries
 
     @property
     def deferred(self) -> DeferredValues:
-        """Values that are read once this gateway leads."""
+        """Values that are read after the takeover."""
         return self._replication.deferred
 
     @property
@@ -129,7 +129,7 @@
 
     @property
     def group(self) -> Group:
-        """The group in force; generation 0 while none is known."""
+        """The group in force; generation 0 if unknown."""
         return self._groups.group
 
     @group.setter
@@ -138,29 +138,29 @@
 
     @property
     def next_group(self) -> Group | None:
-        """The group that is to replace it; None while no change is under way."""
+        """The group that is to replace it; None while there is no change."""
         return self._groups.next_group
 
     @property
     def is_leading(self) -> bool:
-        """Whether takeover is complete."""
+        """Whether the takeover is complete."""
         return self.phase is Phase.LEADING
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether no other gateway can lead at this moment."""
+        """Return whether no other gateway can be the leader at this moment."""
         return self.is_leading and now < self.lease_until()
 
     @property
     def awaits_renewal(self) -> bool:
-        """Whether the lease ended in a pause of this process and may still be renewed."""
+        """Whether the lease expired in a pause of this process and may still be renewed."""
         return self.is_leading and self._renewal.is_awaited
 
     def lease_until(self) -> float:
-        """Return the time until which a write quorum keeps others from leading."""
+        """Return the time until which a write quorum excludes other leaders."""
         return self._groups.lease_until(self.phase, self.followers)
 
     def synced_members(self) -> list[GroupMember]:
-        """Return the connected replicas that hold everything."""
+        """Return the connected replicas that have everything."""
         return [
             follower.member
             for follower in self.followers.values()
@@ -168,7 +168,7 @@
         ]
 
     def member_links(self, zone: str, places: Topology) -> list[int]:
-        """Return the links of the group's members: the nearest to a zone, the longest connected."""
+        """Return the links of the group's members: nearest to a zone first, then by age."""
         names = self._groups.names()
         links = [
             (places.distance(zone, follower.member.zone), link)
@@ -177,31 +177,31 @@
         ]
         return [link for _, link in sorted(links)]
 
-    # Links
+    # Connections to replicas
 
     def connected(self, link: int, member: GroupMember, now: float) -> None:
-        """Take a replica's connection; a leader brings it up to date."""
+        """Add a replica's connection; a leader brings it up to date."""
         self.followers[link] = Follower(link, member, member.disk)
         self._groups.note_lost_disk(self.phase, member)
         if self.phase is not Phase.IDLE:
-            self._ask_wanted(now)
+            self._prepare_members(now)
 
     def admit(self, name: str, now: float) -> None:
         """Bring a connected replica up to date that is to become a member."""
         self.admitted.add(name)
-        self._ask_wanted(now)
+        self._prepare_members(now)
 
     def lost(self, link: int) -> None:
-        """Forget a connection."""
+        """Remove a connection."""
         self.followers.pop(link, None)
         self.deferred.link_lost(link)
         if self._fetches.is_asked(link):
-            self._depose(StandDown.REPLICA_LOST, self.epoch)
+            self._step_down(StepDownReason.REPLICA_LOST, self.epoch)
 
-    # Answers
+    # Replicas' answers
 
     def promised(self, link: int, promise: Promise, now: float) -> None:
-        """Take a replica's answer to `Prepare`."""
+        """Process a replica's answer to `Prepare`."""
         follower = self.followers.get(link)
         if follower is None:
             return
@@ -214,25 +214,25 @@
             return
         if promise.epoch != self.epoch:
             return
-        follower.consented()
+        follower.pop_consent()
         follower.keys = dict(zip(promise.keys, promise.epochs, strict=True))
         self._notes.learn(promise.orders, now)
         if self.phase is Phase.PREPARING:
             self._groups.learn(promise.groups)
-            self._ask_wanted(now)
+            self._prepare_members(now)
             self._try_fetch()
         elif self.phase in (Phase.REWRITING, Phase.LEADING):
             self._replication.bring_up_to_date(follower, now)
             self._try_lead(now)
 
     def _promise_refused(self, promise: Promise) -> None:
-        if must_stand_down_on(RefusedPromise(self.phase, promise.epoch, self.epoch)):
-            # A refusal tells whole milliseconds; the lease may last a part of one longer.
+        if must_step_down_on(RefusedPromise(self.phase, promise.epoch, self.epoch)):
+            # A refusal states whole milliseconds; the lease may last a fraction of one longer.
             wait = (promise.wait_milliseconds + 1) / 1000.0
-            self._depose(StandDown.PROMISE_REFUSED, promise.epoch, wait)
+            self._step_down(StepDownReason.PROMISE_REFUSED, promise.epoch, wait)
 
     def fetched(self, link: int, answer: Fetched, now: float) -> None:
-        """Take values asked for during takeover, or those that were left for later."""
+        """Process values requested during the takeover, or deferred ones."""
         if self.phase is Phase.LEADING:
             self._take_deferred(answer, now)
             return
@@ -243,30 +243,30 @@
         for entry in unpack_entries(answer.entries):
             self.entries[entry.key] = entry
         if any(key not in self.entries for key in wanted):
-            self._depose(StandDown.VALUE_LACKED, self.epoch)
+            self._step_down(StepDownReason.VALUE_LACKED, self.epoch)
             return
         if not self._fetches:
             self._rewrite(now)
 
     def appended(self, link: int, answer: Appended, now: float) -> None:
-        """Take a replica's answer to `Append`."""
+        """Process a replica's answer to `Append`."""
         follower = self.followers.get(link)
         if follower is None or self.phase is Phase.IDLE:
             return
         if not answer.accepted:
             if answer.epoch > self.epoch:
-                self._depose(StandDown.HIGHER_EPOCH, answer.epoch)
+                self._step_down(StepDownReason.HIGHER_EPOCH, answer.epoch)
             return
-        number = follower.consented()
+        number = follower.pop_consent()
         if number != HEARTBEAT:
             self._advanced_at = now
         follower.acked = max(follower.acked, number)
         self._commit()
         self._try_lead(now)
 
-    # The term
+    # Start and end of a term
 
-    def stand(
+    def campaign(
         self, highest_seen: int, first_group: Group, now: float, known: Group | None = None
     ) -> None:
         """Ask the group's connected replicas for a promise.
@@ -274,10 +274,10 @@
         Parameters
         ----------
         first_group
-            Group to form where the replicas hold none yet.
+            Group to form if the replicas have none yet.
         known
             Newest group that any replica named; members of others that promises name are asked too.
-            All connected replicas are asked where no group is known.
+            All connected replicas are asked if no group is known.
         """
         self._reset()
         self._hint = known if known is not None else Group()
@@ -285,23 +285,23 @@
         self._replication.epoch = next_epoch(max(highest_seen, self.epoch), self._identity)
         self._first_group = first_group
         self._advanced_at = now
-        self._ask_wanted(now)
+        self._prepare_members(now)
 
     def tick(self, now: float, running: float | None = None) -> None:
-        """Renew the lease, and give up where it has ended.
+        """Renew the lease, and step down if it has ended.
 
         Parameters
         ----------
         running
-            The time less all pauses of this process, in seconds; without pauses where it is None.
+            The time without all pauses of this process, in seconds; no pauses if None.
         """
         if self.phase is Phase.IDLE:
             return
         at = Moment(now, now if running is None else running)
-        self._renewal.looked(self.lease_until(), at)
-        reason = reason_to_stand_down(self._state(), now)
+        self._renewal.update(self.lease_until(), at)
+        reason = step_down_reason(self._state(), now)
         if reason is not None:
-            self._depose(reason, self.epoch)
+            self._step_down(reason, self.epoch)
             return
         if self.phase is not Phase.PREPARING:
             self._replication.send_heartbeats(now)
@@ -309,22 +309,24 @@
         self._read_deferred(now)
 
     def resign(self) -> None:
-        """Give the lease back."""
+        """Release the lease."""
         if self.phase is Phase.IDLE:
             return
-        self._depose(StandDown.RESIGNED, self.epoch)
+        self._step_down(StepDownReason.RESIGNED, self.epoch)
 
     def _state(self) -> TermState:
         return TermState(self.phase, self._advanced_at, self.lease_until(), self.awaits_renewal)
 
-    def _depose(self, reason: StandDown, highest_epoch: int, wait_seconds: float = 0.0) -> None:
+    def _step_down(
+        self, reason: StepDownReason, highest_epoch: int, wait_seconds: float = 0.0
+    ) -> None:
         self._replication.release_all()
         self._reset()
-        self._replication.instruct(Deposed(reason, highest_epoch, wait_seconds))
+        self._replication.instruct(SteppedDown(reason, highest_epoch, wait_seconds))
 
     def _reset(self) -> None:
         self.phase = Phase.IDLE
-        self.holds_back = False
+        self.defers_reads = False
         self.admitted = set()
         self._replication.reset()
         self._groups.reset()
@@ -334,10 +336,10 @@
 
     # Takeover
 
-    def _ask_wanted(self, now: float) -> None:
-        """Ask those for a promise that belong to the group, or are to, and were not asked yet.
+    def _prepare_members(self, now: float) -> None:
+        """Ask present and future members of the group for a promise that were not asked yet.
 
-        The other replicas cost nothing: no promise, no write and no heartbeat goes to them.
+        The other replicas cost nothing: they get no prepare, write or heartbeat.
         """
         known = [self._hint, self._first_group, *self._groups.voting(self.phase)]
         wanted = {member.name for group in known for member in group.members}
@@ -361,14 +363,14 @@
             self._replication.send_fetch(link, keys)
 
     def _deferrable(self) -> dict[str, int]:
-        """Return the keys, with their epochs, whose values are read once this gateway leads."""
-        return deferrable(self._replication.promised(), self._may_wait, self._have_write_quorums)
+        """Return the keys, with their epochs, whose values are read after the takeover."""
+        return deferrable(self._replication.promised(), self._may_defer, self._have_write_quorums)
 
     def _have_write_quorums(self, disks: set[str]) -> bool:
         return self._groups.have_write_quorums(self.phase, disks)
 
     def _rewrite(self, now: float) -> None:
-        """Write again what a write quorum does not provably hold, then lead."""
+        """Rewrite what a write quorum does not provably have, then lead."""
         self._groups.settle(self.phase)
         self.phase = Phase.REWRITING
         promised = self._replication.promised()
@@ -377,8 +379,8 @@
         for entry in list(self.entries.values()):
             if not self._is_written(entry, promised):
                 self.put(entry.key, entry.value)
-        # Each replica gets what it lacks with what brings it up to date.
-        self._replication.unwritten.forget_unsent_puts()
+        # Each replica gets what it lacks with the message that brings it up to date.
+        self._replication.unwritten.drop_unsent_puts()
         for follower in promised:
             self._replication.bring_up_to_date(follower, now)
         self._commit()
@@ -396,12 +398,12 @@
         if self.phase is not Phase.REWRITING:
             return
         has_unwritten = bool(self._replication.unwritten)
-        if is_takeover_over(self._state(), has_unwritten, now):
+        if is_takeover_complete(self._state(), has_unwritten, now):
             self._lead()
 
     def _lead(self) -> None:
         if self.next_group is not None:
-            # Nothing of the newer group needed writing again, so it is in force.
+            # Nothing of the newer group had to be rewritten, so it is in force.
             self._finish_change(group_key(self.next_group.generation))
         self.phase = Phase.LEADING
         entries = tuple(
@@ -412,14 +414,14 @@
         notes = self._replication.keys_with(ORDER_PREFIX)
         orders = self._notes.last_orders(notes, self._advanced_at)
         holder = holder_of(self.entries.values())
-        won = Won(self.epoch, entries, holder, orders, tuple(self.deferred.epochs))
+        won = ElectionWon(self.epoch, entries, holder, orders, tuple(self.deferred.epochs))
         self._replication.instruct(won)
 
-    # Values that were left for later
+    # Deferred values
 
     def _read_deferred(self, now: float) -> None:
-        """Ask a replica for a part of the values that were left for later."""
-        if not self.is_leading or self.holds_back:
+        """Request a part of the deferred values from a replica."""
+        if not self.is_leading or self.defers_reads:
             return
         synced = [link for link, follower in self.followers.items() if follower.is_synced]
         request = self.deferred.next_request(synced, now)
@@ -427,30 +429,30 @@
             self._replication.send_fetch(*request)
 
     def _take_deferred(self, answer: Fetched, now: float) -> None:
-        loaded = self.deferred.take(unpack_entries(answer.entries))
+        loaded = self.deferred.pop_awaited(unpack_entries(answer.entries))
         self.entries.update((entry.key, entry) for entry in loaded)
-        self._replication.instruct(Loaded(tuple(loaded)))
+        self._replication.instruct(DeferredLoaded(tuple(loaded)))
         if self.deferred.epochs:
             self._read_deferred(now)
             return
-        self._replication.bring_rest_up_to_date(now)
+        self._replication.bring_remaining_up_to_date(now)
 
     # Writes
 
     def put(self, key: str, value: bytes) -> None:
-        """Write a value; `Committed` follows. A key is written once an epoch."""
+        """Write a value; `Committed` follows. A key is written once per epoch."""
         self._replication.put(key, value)
 
     def drop(self, key: str) -> None:
-        """Remove a value that nobody needs any more."""
+        """Remove a value that is no longer needed."""
         self._replication.drop(key)
 
     def flush(self, now: float) -> None:
-        """Send what was written since the last call, in one message a replica."""
+        """Send the writes since the last call, in one message per replica."""
         self._replication.flush(now)
 
     def _commit(self) -> None:
-        """Tell of the writes that a write quorum of each voting group has on disk."""
+        """Report the writes that a write quorum of each voting group has on disk."""
         unwritten = self._replication.unwritten
         while (oldest := unwritten.oldest()) is not None:
             number = self._groups.written_number(self.phase, self.followers.values())
@@ -460,7 +462,7 @@
                 unwritten.committed(key)
                 self._committed(key)
                 if key.startswith(GROUP_PREFIX):
-                    # Other groups count from here on.
+                    # Other groups vote from here on.
                     break
 
     def _committed(self, key: str) -> None:
@@ -469,10 +471,10 @@
         elif self.phase is Phase.LEADING:
             self._replication.instruct(Committed(key))
 
-    # The group
+    # Changes of the group
 
     def change_group(self, members: list[GroupMember]) -> None:
-        """Begin a change of the group; only one is under way at a time."""
+        """Start a change of the group; there is only one at a time."""
         if not self.is_leading or self.next_group is not None:
             return
         generation = self.group.generation + 1
@@ -483,44 +485,44 @@
     def _finish_change(self, key: str) -> None:
         if not self._groups.finish_change(key):
             return
-        # A replica that holds a group without the one before it says that it is in force.
+        # A replica that has a group without the one before it states that it is in force.
         for each in self._replication.keys_with(GROUP_PREFIX):
             if each < key:
                 self.drop(each)
-        self._leave_others()
+        self._exclude_others()
 
-    def _leave_others(self) -> None:
+    def _exclude_others(self) -> None:
         """Send nothing more to replicas that no longer belong to the group."""
         names = self._groups.names()
         self.admitted.clear()
         for follower in self.followers.values():
             if follower.member.name not in names:
-                follower.leave()
+                follower.exclude()
 
-    # Orders to engines
+    # Permission to order engines
 
     def note_order(self, engine: str) -> str:
-        """Write that this leader is about to order an engine; return the key of the note.
+        """Write a note that this leader is about to order an engine; return the note's key.
 
-        The order may be given once the note is committed. The notes of earlier orders to the
-        same engine are over then, see `drop_older_notes`.
+        The order may be sent once the note is committed. Notes of earlier orders to the same engine
+        are obsolete then, see `drop_older_notes`.
         """
         note = self._notes.next_note(self.epoch, engine, self._name)
         self.put(note.key, b"")
         return note.key
 
     def drop_older_notes(self, key: str) -> None:
-        """Remove the notes of an engine before one that is committed."""
+        """Remove an engine's notes that are older than a committed one."""
         for each in older_notes(key, self.entries):
             self.drop(each)
 
     def claim_orders(self) -> str:
-        """Claim the right to order engines; return the key whose commit grants it."""
+        """Claim the permission to order engines; return the key whose commit grants it."""
         key = holder_key(self.epoch)
         self.put(key, self._name.encode())
         return key
 
     def drop_older_claims(self, key: str) -> None:
-        """Remove the claims before one that is committed."""
+        """Remove the claims that are older than a committed one."""
         for each in older_claims(key, self.entries):
             self.drop(each)
--- a/src/pondtiller/steplog/order_notes.py
+++ b/src/pondtiller/steplog/order_notes.py
@@ -1,14 +1,14 @@
 """Notes of orders to engines: which gateway ordered which engine last, and how long ago. No I/O.
 
-A leader writes a note into the log before each order, and gives the order only once the note is
-committed. So a successor finds a note of every order that was given, and need wait only for the
-engines that another gateway ordered lately, instead of for all.
+A leader writes a note into the log before each order, and sends the order only once the note is
+committed. A successor thus finds a note of every order that was sent, and need only wait for the
+engines that another gateway ordered recently, instead of for all.
 
-Clocks of machines differ, so no time is written: each replica measures on its own steady clock
-how long it has held a note. The promises of a read quorum hold at least one copy that is older
+Clocks of machines differ, so no time is written: each replica measures on its own monotonic clock
+how long it has had a note. The promises of a read quorum include at least one copy that is older
 than the order; of several copies the youngest counts, which can only lengthen the wait.
 
-Owns the ages that a candidate learnt, for its term. How long is waited is decided by the driver
+Holds the ages that a candidate received, for its term. How long to wait is decided by the driver
 (`gateway/leader/order_rights.py`).
 """
 
@@ -21,16 +21,16 @@
 
 
 class OrderNote(NamedTuple):
-    """One note, as its key says it; the value of the entry is empty.
+    """One note, as encoded in its key; the value of the entry is empty.
 
     Attributes
     ----------
     number
         Rises with each note of an epoch.
     engine
-        Where the engine is reached: another start at the same place is the same engine here.
+        Address of the engine: another incarnation at the same address is the same engine here.
     gateway
-        Who ordered.
+        Gateway that ordered.
     """
 
     epoch: int
@@ -45,12 +45,12 @@
 
 
 class LastOrder(NamedTuple):
-    """The last order that an engine may have been given.
+    """The last order that an engine may have received.
 
     Attributes
     ----------
     at
-        Time of the candidate's steady clock, in seconds, before which it was noted.
+        Monotonic time of the candidate, in seconds, before which it was noted.
     """
 
     gateway: str
@@ -58,7 +58,7 @@
 
 
 def parse_note(key: str) -> OrderNote:
-    """Return the note that a key stands for."""
+    """Parse the key of a note."""
     _, epoch, number, engine, gateway = key.split("/", 4)
     return OrderNote(int(epoch), int(number), engine, gateway)
 
@@ -75,7 +75,7 @@
     keys
         All notes in the log.
     latest
-        Time that counts for a note of which no replica sent its age.
+        Time that counts for a note whose age no replica sent.
     """
     found: dict[str, LastOrder] = {}
     for key in sorted(keys):
@@ -85,14 +85,14 @@
 
 
 class OrderNotes:
-    """What a candidate learnt of the notes' ages, and the numbers of its own; for one term."""
+    """Ages of notes that a candidate received, and the numbers of its own notes; for one term."""
 
     def __init__(self) -> None:
         self._noted_at: dict[str, float] = {}
         self._last_number = 0
 
     def learn(self, ages: Iterable[OrderAge], now: float) -> None:
-        """Take how long a replica has held notes of orders; the youngest copy counts."""
+        """Record how long a replica has had notes of orders; the youngest copy counts."""
         for order in ages:
             at = now - order.milliseconds / 1000.0
             self._noted_at[order.key] = max(at, self._noted_at.get(order.key, at))
@@ -108,7 +108,7 @@
 
 
 def older_notes(key: str, keys: Iterable[str]) -> list[str]:
-    """Return the notes among some keys that are of the same engine as one, and older."""
+    """Return the notes of the same engine as a given one that are older."""
     engine = parse_note(key).engine
     return [
         each
--- a/src/pondtiller/steplog/replica.py
+++ b/src/pondtiller/steplog/replica.py
@@ -1,10 +1,10 @@
 """One replica of the step log: promises, values and the leader's lease. No I/O.
 
-Each handler returns the reply and the record that must be on disk before the reply leaves.
+Each handler returns the reply and the record that must be on disk before the reply is sent.
 
-Owns the replica's promise and values, which are durable, and its lease and the ages of notes, which
-end with the process. What a leader may do with them is decided in `term_rules.py` and `leader.py`;
-the disk is the driver's (`replica/`).
+Holds the replica's promise and values, which are durable, and its lease and the ages of notes,
+which are lost with the process. What a leader may do with them is decided in `term_rules.py` and
+`leader.py`; the disk is the driver's (`replica/`).
 """
 
 from dataclasses import dataclass, field
@@ -31,11 +31,10 @@
 )
 
 LEASE_SECONDS = 1.2
-"""How long a replica grants no other candidate its promise after its leader's last message.
-
-Bounds how long nobody leads after a leader's loss, and how long a leader may stand still: one that
-read a step of 32 samples on 0.12 of a core stood still for 1.1 s and lost its lease ten times. The
-figure is chosen, not measured; a longer one hides such a stall and delays each takeover."""
+"""How long a replica refuses other candidates after its leader's last message. Bounds the time
+without a leader after a loss, and how long a leader may be blocked: one that read a step of 32
+samples on 0.12 of a core was blocked for 1.1 s and lost its lease ten times. A higher value
+tolerates longer pauses but delays each takeover."""
 
 
 @dataclass(slots=True)
@@ -50,12 +49,12 @@
 
 
 class ViewState(NamedTuple):
-    """What a replica's view is made from; a view that has the same is the same.
+    """State from which a replica's view is built; equal states give equal views.
 
     Attributes
     ----------
     leader
-        The gateway that holds the lease; empty while none does.
+        Gateway that holds the lease; empty if none does.
     special_revision
         Counts the changes of groups and claims.
     """
@@ -67,14 +66,14 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What a handler returns.
+    """Result of a handler.
 
     Attributes
     ----------
     message
         The answer.
     record
-        Must be durable before the answer leaves; None where nothing changed.
+        Must be durable before the answer is sent; None if nothing changed.
     """
 
     message: Promise | Appended | Fetched
@@ -88,17 +87,17 @@
     Attributes
     ----------
     member
-        Its name, place and disk.
+        Its name, location and disk.
     may_form
-        Whether it may become part of a first group: the system's first start, empty disk.
+        Whether it may become part of a first group: the system's first start with an empty disk.
     promised
         Highest epoch promised; durable.
     promised_to
-        The gateway that it was promised to; durable.
+        Gateway that it was promised to; durable.
     entries
         Values by key; durable.
     special
-        Those of them that say who decides: groups, and holders of the right to order.
+        Those of them that determine who decides: groups, and claims to order.
     noted_at
         When this process received each note of an order, by key.
     """
@@ -115,7 +114,7 @@
     lease: Lease = field(default_factory=Lease)
 
     def restore(self, record: DiskRecord) -> None:
-        """Take a record read back from the disk."""
+        """Apply a record read back from the disk."""
         self._take(record, self.started_at)
 
     def _take(self, record: DiskRecord, now: float) -> None:
@@ -139,14 +138,14 @@
 
     @property
     def groups(self) -> list[Group]:
-        """The groups that this replica holds, oldest first."""
+        """Groups that this replica has, oldest first."""
         return groups_of(self.special.values())
 
     def prepare(self, message: Prepare, now: float) -> Reply:
         """Promise an epoch to a candidate, or refuse because of a lease or a higher promise."""
-        if self._is_held_against(message, now) or message.epoch < self.promised:
+        if self._is_excluded(message, now) or message.epoch < self.promised:
             refusal = self._promise(granted=False, now=now)
-            refusal.wait_milliseconds = int(max(0.0, self._held_until() - now) * 1000)
+            refusal.wait_milliseconds = int(max(0.0, self._excluded_until() - now) * 1000)
             return Reply(refusal)
         record = DiskRecord(promised=message.epoch, promised_to=message.leader)
         self.promised, self.promised_to = message.epoch, message.leader
@@ -161,7 +160,7 @@
         return Reply(self._promise(granted=True, now=now), record)
 
     def append(self, message: Append, now: float) -> Reply:
-        """Take the leader's writes and renew its lease."""
+        """Apply the leader's writes and renew its lease."""
         if message.epoch != self.promised:
             return Reply(Appended(accepted=False, epoch=self.promised))
         self.lease.until = now + LEASE_SECONDS
@@ -179,17 +178,17 @@
         return Reply(Fetched(entries=pack_entries(found)))
 
     def resign(self, message: Resign) -> None:
-        """End the lease of a leader that gives it back."""
+        """End the lease of a leader that releases it."""
         if message.epoch == self.lease.epoch:
             self.lease.until = 0.0
 
     def view_state(self, now: float) -> ViewState:
-        """Return what tells whether the view has changed; making a view reads the groups."""
+        """Return the state that determines the view, which is cheaper than building the view."""
         leader = self.lease.leader if now < self.lease.until else ""
         return ViewState(self.promised, leader, self.special_revision)
 
     def view(self, now: float) -> ReplicaView:
-        """Return what subscribers are sent."""
+        """Return the view that subscribers are sent."""
         groups = self.groups
         is_held = now < self.lease.until
         return ReplicaView(
@@ -204,25 +203,25 @@
         )
 
     def lease_age(self, now: float) -> LeaseAge:
-        """Return how long ago the leader was heard."""
+        """Return how long ago the leader's last message arrived."""
         left = self.lease.until - now
         if left <= 0:
             return LeaseAge()
         return LeaseAge(epoch=self.lease.epoch, milliseconds=int((LEASE_SECONDS - left) * 1000))
 
-    def _is_held_against(self, message: Prepare, now: float) -> bool:
+    def _is_excluded(self, message: Prepare, now: float) -> bool:
         """Return whether another gateway may still believe in its lease.
 
-        A replica that starts again forgot when it granted one, so it waits for a lease.
-        A gateway that stands again has ended its earlier lease: it gave it up, or its process
-        ended. An epoch belongs to one leader, so the same epoch is the same leader again.
+        A restarted replica has forgotten when it granted one, so it waits for the length of a
+        lease. A gateway that campaigns again has ended its earlier lease: it gave it up, or its
+        process ended. An epoch belongs to one leader, so the same epoch is the same leader again.
         """
         if message.epoch == self.promised:
             return False
-        return now < self._held_until() and self.promised_to != message.leader
+        return now < self._excluded_until() and self.promised_to != message.leader
 
-    def _held_until(self) -> float:
-        """Return until when a lease may stand against a candidate."""
+    def _excluded_until(self) -> float:
+        """Return until when a lease may exclude a candidate."""
         may_have_granted = bool(self.promised) and not self.lease.leader
         guard = self.started_at + LEASE_SECONDS if may_have_granted else 0.0
         return max(guard, self.lease.until)
@@ -245,7 +244,7 @@
         ]
 
     def _form(self, group: Group, epoch: int, record: DiskRecord) -> None:
-        """Take the first group where this replica belongs to it and holds none."""
+        """Store the first group if this replica belongs to it and has none."""
         if self.groups or not self.may_form or self.member.disk not in disks(group):
             return
         entry = Entry(key=group_key(group.generation), epoch=epoch, value=bytes(group))
--- a/src/pondtiller/steplog/takeover_reads.py
+++ b/src/pondtiller/steplog/takeover_reads.py
@@ -1,7 +1,7 @@
-"""Which values a candidate reads during its takeover, from whom, and which can wait. No I/O.
+"""Which values a candidate reads during its takeover, from which replica, and which are deferred.
 
-Owns the requests under way (`Fetches`), for one takeover. Values that wait are read by
-`deferred.py` once the candidate leads.
+Holds the requests in progress (`Fetches`), for one takeover. Deferred values are read by
+`deferred.py` after the takeover. No I/O.
 """
 
 from collections.abc import Callable, Collection, Iterable, Sequence
@@ -9,14 +9,13 @@
 from pondtiller.steplog.follower import Follower
 
 CHUNK_KEYS = 64
-"""Values in one message of a takeover: heartbeats get through between them.
-
-Answers a log of 8 MB in one answer a replica, which took 1.2 s on a link of 100 Mbit/s, longer
-than a lease. 64 values of about 6 KB take 31 ms there (worked out). Chosen, not measured."""
+"""Values in one message of a takeover, so that heartbeats are sent in between. A log of 8 MB in one
+answer per replica took 1.2 s on a link of 100 Mbit/s, longer than a lease; 64 values of about 6 KB
+take 31 ms there."""
 
 
 class Fetches:
-    """Keys that were asked for and not answered, by link, in the order of asking."""
+    """Requested keys without an answer, by link, in the order of the requests."""
 
     def __init__(self) -> None:
         self._chunks: dict[int, list[list[str]]] = {}
@@ -26,11 +25,11 @@
         return bool(self._chunks)
 
     def is_asked(self, link: int) -> bool:
-        """Return whether a replica owes an answer."""
+        """Return whether a replica has yet to answer."""
         return link in self._chunks
 
     def add(self, link: int, key: str) -> None:
-        """Ask a replica for one value more."""
+        """Request another value from a replica."""
         chunks = self._chunks.setdefault(link, [[]])
         if len(chunks[-1]) >= CHUNK_KEYS:
             chunks.append([])
@@ -41,7 +40,7 @@
         return [(link, keys) for link, chunks in self._chunks.items() for keys in chunks]
 
     def answered(self, link: int) -> list[str]:
-        """Return the keys of a replica's oldest request, which is over."""
+        """Return the keys of a replica's oldest request, and remove it."""
         chunks = self._chunks[link]
         keys = chunks.pop(0)
         if not chunks:
@@ -59,9 +58,9 @@
 
 
 def best_holders(followers: Iterable[Follower]) -> dict[str, int]:
-    """Return for each key the link to fetch it from: one that has its highest epoch.
+    """Return for each key a link to fetch it from, which has its highest epoch.
 
-    Where several do, they share the keys.
+    If several links do, the keys are distributed over them.
     """
     highest: dict[str, int] = {}
     holders: dict[str, list[int]] = {}
@@ -76,27 +75,26 @@
 
 def deferrable(
     promised: Sequence[Follower],
-    may_wait: Callable[[Collection[str]], set[str]],
+    may_defer: Callable[[Collection[str]], set[str]],
     have_write_quorums: Callable[[set[str]], bool],
 ) -> dict[str, int]:
-    """Return the keys, with their epochs, whose values may be read once this gateway leads.
+    """Return the keys, with their epochs, whose values may be read after the takeover.
 
-    A write quorum holds them at the highest epoch that anybody does, so nothing of them is
-    to be written again. As long as they are not read, they are as safe as they were without
-    a leader. Who lacks one is brought up to date later: the quorum is chosen among those
-    that hold most, and lacks none.
+    A write quorum has them at the highest known epoch, so nothing of them has to be rewritten, and
+    until they are read they are as safe as without a leader. Replicas that lack one are brought up
+    to date later: the quorum is chosen among those that have most, and lacks none.
 
     Parameters
     ----------
     promised
         Replicas that promised, with their keys.
-    may_wait
+    may_defer
         Returns which of some keys' values are not needed to lead.
     have_write_quorums
         Returns whether some disks are write quorums of all voting groups.
     """
     highest = highest_epochs(promised)
-    waiting = {key: highest[key] for key in may_wait(highest.keys())}
+    waiting = {key: highest[key] for key in may_defer(highest.keys())}
     quorum = _most_complete_quorum(promised, waiting, have_write_quorums)
     return {
         key: epoch
@@ -110,7 +108,7 @@
     values: dict[str, int],
     have_write_quorums: Callable[[set[str]], bool],
 ) -> list[Follower]:
-    """Return a write quorum of those that hold most of some values; empty where none is."""
+    """Return a write quorum of those that have most of some values; empty if there is none."""
     ordered = sorted(
         promised, key=lambda each: len(values.items() & (each.keys or {}).items()), reverse=True
     )
--- a/src/pondtiller/steplog/term_rules.py
+++ b/src/pondtiller/steplog/term_rules.py
@@ -1,49 +1,42 @@
-"""When a leader's takeover is over, how long its lease lasts, and when it stands down. No I/O.
+"""When a takeover is complete, how long a lease lasts, and when a leader steps down. No I/O.
 
-Owns nothing: each rule is a function of its inputs. Relies on the lease that a replica grants
-(`replica.LEASE_SECONDS`). When a gateway stands for leader is not decided here, but in
-`gateway/leader/standing.py`.
+Stateless: each rule is a function of its inputs. Relies on the lease that a replica grants
+(`replica.LEASE_SECONDS`). When a gateway campaigns is decided in `gateway/leader/candidacy.py`.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from pondtiller.steplog.instructions import Phase, StandDown
+from pondtiller.steplog.instructions import Phase, StepDownReason
 from pondtiller.steplog.replica import LEASE_SECONDS
 
 HEARTBEAT_SECONDS = 0.3
-"""Longest time without a message from a leader to a replica that promised.
-
-Chosen, not measured: a quarter of the lease, so that a lease outlives two heartbeats that are
-late or lost."""
+"""Longest time without a message from a leader to a replica that promised: a quarter of the lease,
+which thus outlives two heartbeats that are late or lost."""
 
 LEASE_MARGIN_SECONDS = 0.15
-"""How much earlier than a replica a leader takes its lease for over.
-
-Answers steady clocks of two machines that run at different speeds, and what a leader still does
-after its last look at the lease. Chosen, not measured: an eighth of the lease; a longer margin
-gives up leases that a late answer would still have renewed."""
+"""How much earlier than a replica a leader considers its lease over. Covers monotonic clocks of two
+machines with different speeds, and what a leader still does after its last check of the lease. A
+longer margin gives up leases that a late answer would still have renewed."""
 
 TAKEOVER_SECONDS = 3.0
-"""How long a takeover may go without an answer that brings it on before the candidate gives up.
-
-Counted from the last progress, not from the start: reading 1,568 values over a link of 100 Mbit/s
-took 1.2 s, longer than a lease, and fourteen terms in 20 s served no step. The figure itself is
-chosen, not measured: more than two leases, for replicas that are slow to read or to sync; while a
-candidate waits, it holds others off."""
+"""How long a takeover may make no progress before the candidate gives up. Counted from the last
+progress: reading 1,568 values over a link of 100 Mbit/s took 1.2 s, longer than a lease, and with a
+limit from the start, fourteen terms in 20 s served no step. Longer than two leases, for replicas
+that are slow to read or to sync; a waiting candidate excludes others."""
 
 
 class TermState(NamedTuple):
-    """What decides whether a term goes on; all times in seconds of the steady clock.
+    """Inputs of the decision whether a term continues; times are monotonic seconds.
 
     Attributes
     ----------
     advanced_at
         When a takeover last made progress.
     lease_until
-        Until when a write quorum keeps others from leading; minus infinity without one.
+        Until when a write quorum excludes other leaders; minus infinity without one.
     awaits_renewal
-        Whether a lease that has ended may still be renewed (`lease_renewal.py`).
+        Whether an expired lease may still be renewed (`lease_renewal.py`).
     """
 
     phase: Phase
@@ -52,15 +45,15 @@
     awaits_renewal: bool = False
 
 
-def reason_to_stand_down(state: TermState, now: float) -> StandDown | None:
-    """Return why a leader or candidate has to stand down at a moment; None while it goes on."""
+def step_down_reason(state: TermState, now: float) -> StepDownReason | None:
+    """Return why a leader or candidate must step down now; None if it continues."""
     if state.phase is Phase.IDLE:
         return None
     if state.phase is not Phase.LEADING:
         is_late = now > state.advanced_at + TAKEOVER_SECONDS
-        return StandDown.TAKEOVER_TOO_LONG if is_late else None
+        return StepDownReason.TAKEOVER_TOO_LONG if is_late else None
     has_ended = now >= state.lease_until and not state.awaits_renewal
-    return StandDown.LEASE_ENDED if has_ended else None
+    return StepDownReason.LEASE_ENDED if has_ended else None
 
 
 class RefusedPromise(NamedTuple):
@@ -79,39 +72,39 @@
     own_epoch: int
 
 
-def must_stand_down_on(refusal: RefusedPromise) -> bool:
+def must_step_down_on(refusal: RefusedPromise) -> bool:
     """Return whether a refused promise ends a term.
 
-    A candidate that has no read quorum yet gives up at any refusal: another lease may last. Later
-    only a higher epoch counts; a replica that follows a lower one is asked in vain, no more.
+    A candidate without a read quorum gives up at any refusal, since another lease may last. Later
+    only a higher epoch matters; a replica that follows a lower one is merely not available.
     """
     return refusal.replica_epoch > refusal.own_epoch or refusal.phase is Phase.PREPARING
 
 
-def is_takeover_over(state: TermState, has_unwritten: bool, now: float) -> bool:
-    """Return whether a candidate leads: everything is written, and its lease still lasts.
+def is_takeover_complete(state: TermState, has_unwritten: bool, now: float) -> bool:
+    """Return whether a candidate leads: everything is written, and its lease is valid.
 
-    Reading the log may take longer than the lease that its promises gave. Where it has ended, the
-    heartbeats that are under way renew it.
+    Reading the log may take longer than the lease that its promises gave. If that has ended, the
+    heartbeats in transit renew it.
 
     Parameters
     ----------
     has_unwritten
-        Whether a value is still on its way to a write quorum.
+        Whether a value has not reached a write quorum yet.
     """
     return state.phase is Phase.REWRITING and not has_unwritten and now < state.lease_until
 
 
 def lease_until(consented_at: Iterable[float], needed: int) -> float:
-    """Return until when enough replicas keep others from leading, in seconds of the steady clock.
+    """Return until when enough replicas exclude other leaders, in monotonic seconds.
 
     Parameters
     ----------
     consented_at
-        For each synced member, when the last message was sent that it answered with consent. The
-        time of sending counts, as the replica's lease began later.
+        For each synced member, the sending time of the last message that it accepted. The sending
+        time counts, since the replica's lease started later.
     needed
-        Members of which a lease has to last: a write quorum.
+        Members whose lease must last: a write quorum.
     """
     latest_first = sorted(consented_at, reverse=True)
     if len(latest_first) < needed:
--- a/src/pondtiller/steplog/tests/cluster.py
+++ b/src/pondtiller/steplog/tests/cluster.py
@@ -1,9 +1,9 @@
 """A deterministic cluster of replicas and daemons on a virtual clock, for the tests.
 
-Messages may be delayed and links break at any moment; replicas lose power (what was not
-answered may be kept or lost), lose their disks, freeze and are replaced; daemons freeze and
-die. Every daemon that leads writes numbered keys and remembers, outside, what it was told is
-committed. A key's committed value must never change or vanish.
+Messages may be delayed and links break at any moment; replicas lose power (unacknowledged writes
+may be kept or lost), lose their disks, freeze and are replaced; daemons freeze and die. Every
+daemon that leads writes numbered keys and remembers, outside of the system, what was reported as
+committed. A key's committed value must never change or disappear.
 """
 
 import heapq
@@ -13,7 +13,14 @@
 
 from pondtiller.steplog.group_policy import GroupInputs, next_members, spare_to_admit
 from pondtiller.steplog.holder import HOLDER_PREFIX
-from pondtiller.steplog.instructions import Committed, Deposed, Loaded, Phase, Send, Won
+from pondtiller.steplog.instructions import (
+    Committed,
+    DeferredLoaded,
+    ElectionWon,
+    Phase,
+    Send,
+    SteppedDown,
+)
 from pondtiller.steplog.leader import LeaderLog
 from pondtiller.steplog.replica import Replica
 from pondtiller.wire.steplog import (
@@ -29,7 +36,7 @@
 
 @dataclass
 class Disk:
-    """Records on one replica's disk; the first `synced` of them outlive a loss of power."""
+    """Records on one replica's disk; the first `synced` of them survive a power loss."""
 
     name: str
     records: list[DiskRecord] = field(default_factory=list)
@@ -52,7 +59,7 @@
 
 @dataclass
 class Daemon:
-    """A daemon that may lead."""
+    """A daemon that may become the leader."""
 
     name: str
     log: LeaderLog
@@ -61,15 +68,15 @@
     frozen_seconds: float = 0.0
     written: int = 0
     is_cut_from: set[str] = field(default_factory=set)
-    stand_at: float | None = None
+    campaign_at: float | None = None
 
 
 class ViolationError(AssertionError):
-    """A promise of the step log was broken."""
+    """A guarantee of the step log was violated."""
 
 
 class Cluster:
-    """The whole world of one seed."""
+    """The simulated system of one seed."""
 
     def __init__(self, seed: int, replicas: int = 3, daemons: int = 3) -> None:
         self.random = random.Random(seed)
@@ -94,11 +101,11 @@
         for number in range(daemons):
             self.add_daemon(number)
 
-    def may_wait(self, keys: Collection[str]) -> set[str]:
-        """Let a leader read two values of three only once it leads."""
+    def may_defer(self, keys: Collection[str]) -> set[str]:
+        """Let a leader defer the reading of two values of three."""
         return {key for key in keys if key.startswith("slot/") and int(key[5:]) % 3}
 
-    # Machines
+    # Machines and their start
 
     def _new_node(self, name: str) -> Node:
         node = Node(name, Disk(f"{name}-0"), None)
@@ -115,7 +122,7 @@
 
     def add_daemon(self, number: int) -> None:
         identity = self.random.getrandbits(32)
-        log = LeaderLog(f"d{number}", "h", 1, identity, lambda keys: self.may_wait(keys))
+        log = LeaderLog(f"d{number}", "h", 1, identity, lambda keys: self.may_defer(keys))
         daemon = Daemon(f"d{number}", log)
         self.daemons.append(daemon)
         self.after(self.random.random() * 0.2, lambda: self._daemon_turn(daemon))
@@ -132,7 +139,7 @@
             action()
         self.now = end
 
-    # Links: per link, messages keep their order
+    # Links, on which messages keep their order
 
     def _connect_all(self, daemon: Daemon) -> None:
         connected = set(daemon.links.values())
@@ -152,7 +159,7 @@
                 each.log.lost(link)
                 self._carry_out(each)
 
-    # Daemons
+    # Behaviour of daemons
 
     def _daemon_turn(self, daemon: Daemon) -> None:
         self.after(0.1, lambda: self._daemon_turn(daemon))
@@ -162,12 +169,12 @@
         log.tick(self.now, self.now - daemon.frozen_seconds)
         if log.holds_lease(self.now):
             self._lead(daemon)
-        elif log.phase is Phase.IDLE and self._may_stand(daemon):
-            log.stand(self.highest, self.first_group, self.now, self._known_group(daemon))
+        elif log.phase is Phase.IDLE and self._may_campaign(daemon):
+            log.campaign(self.highest, self.first_group, self.now, self._known_group(daemon))
         self._carry_out(daemon)
 
     def _known_group(self, daemon: Daemon) -> Group:
-        """Return the newest group that a replica tells the daemon of."""
+        """Return the newest group that a replica reports to the daemon."""
         found = Group()
         for name in daemon.links.values():
             replica = self.nodes[name].replica
@@ -175,30 +182,30 @@
                 found = max(found, replica.view(self.now).group, key=lambda each: each.generation)
         return found
 
-    def _may_stand(self, daemon: Daemon) -> bool:
+    def _may_campaign(self, daemon: Daemon) -> bool:
         if self.stands_like_a_gateway:
-            return self._is_time_to_stand(daemon)
+            return self._is_time_to_campaign(daemon)
         held = any(
             node.replica is not None and self.now < node.replica.lease.until
             for node in self.nodes.values()
         )
         return (self.stand_always or not held) and self.random.random() < 0.3
 
-    def _is_time_to_stand(self, daemon: Daemon) -> bool:
-        """Follow the gateways' rule: a short delay, after a refusal when its lease ends."""
+    def _is_time_to_campaign(self, daemon: Daemon) -> bool:
+        """Follow the gateways' rule: a short delay, and after a refusal the end of its lease."""
         leaders = [
             node.replica.lease.leader
             for node in self.nodes.values()
             if node.replica is not None and self.now < node.replica.lease.until
         ]
         if leaders or not daemon.links:
-            daemon.stand_at = None
+            daemon.campaign_at = None
             return False
-        if daemon.stand_at is None:
-            daemon.stand_at = self.now + self.random.random() * 0.25
-        if self.now < daemon.stand_at:
+        if daemon.campaign_at is None:
+            daemon.campaign_at = self.now + self.random.random() * 0.25
+        if self.now < daemon.campaign_at:
             return False
-        daemon.stand_at = self.now + 0.5 + self.random.random() * 0.5
+        daemon.campaign_at = self.now + 0.5 + self.random.random() * 0.5
         return True
 
     def _lead(self, daemon: Daemon) -> None:
@@ -224,26 +231,26 @@
         daemon.log.flush(self.now)
 
     def _carry_out(self, daemon: Daemon) -> None:
-        for instruction in daemon.log.take():
+        for instruction in daemon.log.pop_instructions():
             match instruction:
                 case Send():
                     self._send(daemon, instruction)
-                case Won():
+                case ElectionWon():
                     self._check_won(daemon, instruction)
-                case Loaded():
+                case DeferredLoaded():
                     self._check_loaded(daemon, instruction)
                 case Committed():
                     self._note_committed(daemon, instruction.key)
-                case Deposed():
+                case SteppedDown():
                     self.highest = max(self.highest, instruction.highest_epoch)
                     if instruction.wait_seconds:
                         delay = self.random.random() * 0.25
-                        daemon.stand_at = self.now + instruction.wait_seconds + delay
+                        daemon.campaign_at = self.now + instruction.wait_seconds + delay
 
-    def _check_won(self, daemon: Daemon, won: Won) -> None:
+    def _check_won(self, daemon: Daemon, won: ElectionWon) -> None:
         self.terms += 1
         held = {entry.key: entry.value for entry in won.entries}
-        # Claims to order engines are told by their holder's name; the log has them as well.
+        # Claims to order engines are reported by their holder's name; the log has them as well.
         log = daemon.log.entries
         held |= {key: log[key].value for key in log if key.startswith(HOLDER_PREFIX)}
         self.deferred += len(won.deferred)
@@ -253,7 +260,7 @@
                     f"{daemon.name} leads with {key}={held.get(key)!r}, was {value!r}"
                 )
 
-    def _check_loaded(self, daemon: Daemon, loaded: Loaded) -> None:
+    def _check_loaded(self, daemon: Daemon, loaded: DeferredLoaded) -> None:
         self.loaded += len(loaded.entries)
         for entry in loaded.entries:
             known = self.committed.setdefault(entry.key, entry.value)
@@ -267,7 +274,7 @@
         if self.committed.setdefault(key, value) != value:
             raise ViolationError(f"{key} was committed as {self.committed[key]!r} and {value!r}")
 
-    # Messages
+    # Messages and disks
 
     def _send(self, daemon: Daemon, send: Send) -> None:
         delay = 0.001 + self.random.random() * (0.2 if self.random.random() < 0.05 else 0.004)
@@ -302,7 +309,7 @@
         self.highest = max(self.highest, node.replica.promised)
         synced_at = self._write(node, reply.record)
         answer, epoch, process = reply.message, daemon.log.epoch, node.replica
-        # An answer leaves once everything before it is on the disk, as the server sees to.
+        # An answer is sent once everything before it is on the disk, as the server ensures.
         delay = synced_at - self.now + 0.001 + self.random.random() * 0.004
         if isinstance(message, Fetch):
             delay += self.fetch_seconds_per_key * len(message.keys)
@@ -345,17 +352,17 @@
         return disk.free_at
 
     def _lose_unsynced(self, disk: Disk) -> None:
-        """A loss of power keeps some of what was not synced, up to the first that is torn."""
+        """Lose a part of the unsynced records, from the first torn one on."""
         unsynced = len(disk.records) - disk.synced
         kept = self.random.randint(0, unsynced)
         del disk.records[disk.synced + kept :]
         disk.synced = len(disk.records)
         disk.free_at = self.now
 
-    # Faults
+    # Injected faults
 
     def power_off(self, name: str, seconds: float) -> None:
-        """A replica's machine loses power; its disk stays."""
+        """Cut the power of a replica's machine; its disk stays."""
         node = self.nodes[name]
         if node.replica is None or node.is_gone:
             return
@@ -365,7 +372,7 @@
         self.after(seconds, lambda: self._start(node))
 
     def wipe(self, name: str, seconds: float) -> None:
-        """A replica's machine loses its disk and starts again with an empty one."""
+        """Restart a replica's machine with an empty disk."""
         node = self.nodes[name]
         if node.is_gone:
             return
@@ -377,7 +384,7 @@
         self.after(seconds, lambda: self._start(node))
 
     def replace(self, name: str, seconds: float) -> None:
-        """A replica's machine is gone for good; an empty one comes under another name."""
+        """Replace a replica's machine by an empty one under another name."""
         node = self.nodes[name]
         if node.is_gone:
             return
@@ -402,7 +409,7 @@
         daemon.frozen_until = until
 
     def cut(self, number: int, name: str, seconds: float) -> None:
-        """Cut a daemon from a replica."""
+        """Disconnect a daemon from a replica."""
         daemon = self.daemons[number]
         daemon.is_cut_from.add(name)
         self.break_links(name, daemon)
--- a/src/pondtiller/steplog/tests/test_cluster.py
+++ b/src/pondtiller/steplog/tests/test_cluster.py
@@ -1,9 +1,9 @@
-"""The step log keeps what it committed through every fault that it must bear."""
+"""The step log keeps what it committed through every fault that it must tolerate."""
 
 import pytest
 
 from pondtiller.steplog.deferred import DeferredValues
-from pondtiller.steplog.instructions import Won
+from pondtiller.steplog.instructions import ElectionWon
 from pondtiller.steplog.leader import LeaderLog
 from pondtiller.steplog.lease_renewal import RENEWAL_SECONDS
 from pondtiller.steplog.replica import LEASE_SECONDS
@@ -22,7 +22,7 @@
 
 
 def disturb(cluster: Cluster, number: int) -> None:
-    """One fault drawn by the cluster's seed; at most one disk at a time."""
+    """Inject one fault drawn from the cluster's seed; at most one disk is lost at a time."""
     live = [name for name, node in cluster.nodes.items() if not node.is_gone]
     name = cluster.random.choice(live)
     seconds = 0.3 + cluster.random.random() * 3.0
@@ -79,7 +79,7 @@
 
 
 def test_the_check_sees_a_replica_that_votes_after_losing_its_disk() -> None:
-    """Without disks as identities, a wiped replica would vote and values would vanish."""
+    """Without disks as identities, a wiped replica would vote and values would be lost."""
 
     def lose_and_lie(seed: int) -> None:
         cluster = Cluster(seed)
@@ -101,7 +101,7 @@
 
 
 def test_takeover_after_two_replacements_and_a_lost_disk() -> None:
-    """Incident: the group before the one in force was asked for a quorum that had gone."""
+    """Guards against waiting for a quorum of the previous group, whose members are gone."""
     for seed in range(5):
         cluster = Cluster(seed)
         cluster.run(4.0)
@@ -119,7 +119,7 @@
 
 
 def election_seconds(seed: int) -> float:
-    """Return how long nine daemons take to elect one after staggered restarts of replicas."""
+    """Return how long nine daemons take to elect a leader after staggered restarts of replicas."""
     cluster = Cluster(seed, daemons=9)
     cluster.stands_like_a_gateway = True
     cluster.run(4.0)
@@ -132,12 +132,12 @@
     terms = cluster.terms
     while cluster.terms == terms:
         cluster.run(0.1)
-        assert cluster.now < restarted + 30.0, f"seed {seed}: nobody leads"
+        assert cluster.now < restarted + 30.0, f"seed {seed}: no leader was elected"
     return cluster.now - restarted
 
 
 def test_many_candidates_soon_elect_one_after_staggered_restarts() -> None:
-    """A failed candidate gives its leases back; where it keeps them this takes 1.9 to 2.1 s."""
+    """A failed candidate releases its leases; if it keeps them this takes 1.9 to 2.1 s."""
     seconds = [election_seconds(seed) for seed in range(12)]
     assert max(seconds) < 1.8, seconds
 
@@ -156,7 +156,7 @@
     cluster.run(10.0)
     written = [name for name in ("r3", "r4") if cluster.nodes[name].disk.records]
     assert len(written) == 1
-    # Two of three commit; what they did a moment ago is on its way to the third.
+    # Two of three commit; recent writes are in transit to the third.
     committed = dict(cluster.committed)
     cluster.run(1.0)
     held = cluster.nodes[written[0]].replica.entries
@@ -164,7 +164,7 @@
 
 
 def test_reading_a_long_log_may_take_longer_than_a_lease_and_than_a_takeover() -> None:
-    """Incident 7: each candidate won with a lease that had ended while it read the log."""
+    """Guards against candidates whose lease ends while they read the log, so that none wins."""
     cluster = Cluster(2)
     cluster.run(3.0)
     (leader,) = [each for each in cluster.daemons if each.log.holds_lease(cluster.now)]
@@ -189,7 +189,7 @@
 
 @pytest.mark.parametrize("seconds", [1.1, 1.4, 5.0])
 def test_a_leader_keeps_its_term_over_a_pause_in_which_nobody_was_elected(seconds: float) -> None:
-    """Guards against a takeover, with all runs offered again, for a pause that cost no lease."""
+    """Guards against a takeover, with all runs offered again, after a pause without a successor."""
     cluster = Cluster(1, daemons=1)
     cluster.run(3.0)
     leader = leader_of(cluster)
@@ -221,8 +221,8 @@
     assert leader_of(cluster) is successor
 
 
-def test_a_leader_that_is_cut_off_as_its_pause_ends_gives_its_term_up_soon() -> None:
-    """Guards against runners that are kept from a successor by a leader without a lease."""
+def test_a_leader_disconnected_at_the_end_of_its_pause_steps_down_soon() -> None:
+    """Guards against a leader without a lease that keeps runners from its successor."""
     cluster = Cluster(1)
     cluster.run(3.0)
     leader = leader_of(cluster)
@@ -236,7 +236,7 @@
     assert not leader.log.is_leading
 
 
-def test_a_leader_that_is_cut_off_without_a_pause_stands_down_as_its_lease_ends() -> None:
+def test_a_leader_disconnected_without_a_pause_steps_down_when_its_lease_ends() -> None:
     cluster = Cluster(1)
     cluster.run(3.0)
     leader = leader_of(cluster)
@@ -266,19 +266,19 @@
 
 
 def test_the_check_sees_answers_that_leave_before_the_disk_has_the_write() -> None:
-    """Where a replica answers at once, a loss of all power takes what was told committed."""
+    """If a replica answers at once, a power loss of all takes values reported as committed."""
 
     def answer_early(seed: int) -> None:
         cluster = Cluster(seed)
-        # The drawn course that shows it is the one without values that wait.
-        cluster.may_wait = lambda keys: set()  # type: ignore[method-assign]
+        # The random course that shows it is the one without deferred values.
+        cluster.may_defer = lambda keys: set()  # type: ignore[method-assign]
         write = cluster._write
         cluster._write = lambda node, record: (write(node, record), cluster.now)[1]  # type: ignore[method-assign]
         cluster.run(4.0)
         for _ in range(10):
             for name in cluster.nodes:
                 cluster.power_off(name, 0.3)
-            # The leader knows what it wrote, and leads again at once: another must take over.
+            # The leader knows its writes and would lead again at once: another must take over.
             for number, daemon in enumerate(cluster.daemons):
                 if daemon.log.is_leading:
                     cluster.freeze_daemon(number, 4.0)
@@ -301,13 +301,13 @@
     assert not any(daemon.log.deferred.epochs for daemon in cluster.daemons)
 
 
-def test_values_that_wait_are_read_only_once_the_leader_says_so() -> None:
+def test_deferred_values_are_read_only_once_the_leader_asks() -> None:
     cluster = Cluster(3)
     cluster.run(3.0)
     usual = cluster._check_won
 
-    def hold_back(daemon: Daemon, won: Won) -> None:
-        daemon.log.holds_back = True
+    def hold_back(daemon: Daemon, won: ElectionWon) -> None:
+        daemon.log.defers_reads = True
         usual(daemon, won)
 
     cluster._check_won = hold_back  # type: ignore[method-assign]
@@ -317,7 +317,7 @@
     leader = next(each.log for each in cluster.daemons if each.log.is_leading)
     assert len(leader.deferred.epochs) > 5
     assert cluster.loaded == 0
-    leader.holds_back = False
+    leader.defers_reads = False
     cluster.run(CALM_SECONDS)
     assert not leader.deferred.epochs
     assert cluster.loaded == cluster.deferred
@@ -327,18 +327,18 @@
 def test_a_replica_that_lacks_values_that_wait_is_sent_them(
     may_lack: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With the conditions switched off (`may_lack`) they stay away, which the check must see."""
+    """With the conditions disabled (`may_lack`) they are not sent, which the check must detect."""
 
     def of_the_last(log: LeaderLog) -> dict[str, int]:
         held = [each.keys for each in log.followers.values() if each.keys is not None]
-        return {key: held[-1][key] for key in log._may_wait(held[-1].keys())}
+        return {key: held[-1][key] for key in log._may_defer(held[-1].keys())}
 
     if may_lack:
         monkeypatch.setattr(LeaderLog, "_deferrable", of_the_last)
         monkeypatch.setattr(DeferredValues, "is_lacked_by", lambda values, held: False)
     cluster = Cluster(3)
     cluster.run(4.0)
-    keys = sorted(cluster.may_wait(cluster.committed.keys()))
+    keys = sorted(cluster.may_defer(cluster.committed.keys()))
     first = next(iter(cluster.nodes.values()))
     for key in keys:
         del first.replica.entries[key]
--- a/src/pondtiller/steplog/tests/test_disk_format.py
+++ b/src/pondtiller/steplog/tests/test_disk_format.py
@@ -1,4 +1,4 @@
-"""Any damage to a file gives a valid beginning of what was written, never a wrong record."""
+"""A damaged file yields a valid beginning of what was written, never a wrong record."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/src/pondtiller/steplog/tests/test_fault_tolerance.py
+++ b/src/pondtiller/steplog/tests/test_fault_tolerance.py
@@ -1,4 +1,4 @@
-"""The group bears what is declared, is repaired one member at a time, and then stays."""
+"""The group tolerates the declared losses, is repaired by single changes, and then stays."""
 
 import random
 from itertools import combinations
@@ -6,7 +6,7 @@
 import pytest
 
 from pondtiller.routes.topology import Topology
-from pondtiller.steplog.fault_tolerance import PlaceRules, Tolerance, shortfall
+from pondtiller.steplog.fault_tolerance import GroupRules, Tolerance, shortfall
 from pondtiller.steplog.group import write_quorum
 from pondtiller.steplog.group_policy import (
     GroupInputs,
@@ -18,7 +18,7 @@
 
 Members = list[GroupMember]
 
-TWO_OR_A_ZONE = PlaceRules(Tolerance(machines=2, zones=1), Topology(dict.fromkeys("abcd", "r")))
+TWO_OR_A_ZONE = GroupRules(Tolerance(machines=2, zones=1), Topology(dict.fromkeys("abcd", "r")))
 TWO_REGIONS = Topology({"s1": "s", "n1": "n", "s2": "s", "n2": "n", "s3": "s", "n3": "n"})
 
 
@@ -35,11 +35,11 @@
     return {zone: found.count(zone) for zone in found}
 
 
-def bears(members: Members, rules: PlaceRules) -> bool:
-    """Return by trying out each loss whether a quorum stays."""
+def bears(members: Members, rules: GroupRules) -> bool:
+    """Return whether a quorum stays after each possible loss, by enumeration."""
     quorum = write_quorum(len(members))
     by_zone = [[each for each in members if each.zone == zone] for zone in zones(members)]
-    region_of = rules.places.region
+    region_of = rules.topology.region
     regions = {region_of(each.zone) for each in members}
     by_region = [[each for each in members if region_of(each.zone) == one] for one in regions]
     machines = [[each] for each in members]
@@ -56,8 +56,8 @@
     )
 
 
-def settle(members: Members, up: Members, rules: PlaceRules, **given: object) -> list[Members]:
-    """Return the groups that follow each other until nothing changes."""
+def settle(members: Members, up: Members, rules: GroupRules, **given: object) -> list[Members]:
+    """Return the successive groups until nothing changes."""
     groups, synced = [members], {each.name for each in members}
     for _ in range(40):
         current = groups[-1]
@@ -85,9 +85,9 @@
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_a_shortfall_is_told_exactly_where_some_loss_breaks_the_quorum(seed: int) -> None:
+def test_a_shortfall_exists_exactly_if_some_loss_breaks_the_quorum(seed: int) -> None:
     random_ = random.Random(seed)
-    rules = PlaceRules(
+    rules = GroupRules(
         Tolerance(random_.randrange(3), random_.randrange(3), random_.randrange(2)), TWO_REGIONS
     )
     counts = {zone: random_.randrange(3) for zone in TWO_REGIONS.regions}
@@ -95,15 +95,15 @@
     assert (shortfall(members, len(members), rules) == 0) is bears(members, rules)
 
 
-def test_the_first_group_bears_two_machines_or_a_zone() -> None:
+def test_the_first_group_tolerates_two_machines_or_a_zone() -> None:
     up = replicas(a=3, b=3, c=3, d=2)
     members = first_members(tuple(up), 5, TWO_OR_A_ZONE)
     assert members is not None and bears(members, TWO_OR_A_ZONE)
     assert sorted(zones(members).values()) == [1, 1, 1, 2]
 
 
-def test_the_first_group_of_two_regions_bears_two_machines() -> None:
-    rules = PlaceRules(Tolerance(machines=2), TWO_REGIONS)
+def test_the_first_group_of_two_regions_tolerates_two_machines() -> None:
+    rules = GroupRules(Tolerance(machines=2), TWO_REGIONS)
     up = replicas(s1=2, n1=2, s2=2, n2=1, s3=1, n3=1)
     members = first_members(tuple(up), 5, rules)
     assert members is not None and bears(members, rules)
@@ -111,7 +111,7 @@
 
 
 def test_the_first_group_is_made_right_where_one_zone_started_first() -> None:
-    """The candidates of that moment bear no zone's loss; the group is repaired as others come."""
+    """The first candidates tolerate no zone loss; the group is repaired when others arrive."""
     early, late = replicas(a=3, b=2), replicas(c=3, d=2)
     members = first_members(tuple(early), 5, TWO_OR_A_ZONE)
     assert members is not None and not bears(members, TWO_OR_A_ZONE)
@@ -120,9 +120,7 @@
     assert 2 <= len(groups) <= 3
 
 
-def test_after_the_loss_of_a_zone_the_rest_bears_the_next_one_and_its_return_changes_nothing() -> (
-    None
-):
+def test_after_a_zone_loss_the_rest_tolerates_the_next_one_and_its_return_changes_nothing() -> None:
     up = replicas(a=3, b=3, c=3, d=2)
     members = first_members(tuple(up), 5, TWO_OR_A_ZONE)
     assert members is not None
@@ -143,14 +141,14 @@
     assert not bears(crowded, TWO_OR_A_ZONE) and bears(groups[-1], TWO_OR_A_ZONE)
 
 
-def test_an_even_group_is_repaired_through_a_change_that_alone_bears_no_more() -> None:
-    rules = PlaceRules(Tolerance(1, 1), TWO_OR_A_ZONE.places)
+def test_an_even_group_is_repaired_through_a_change_that_alone_tolerates_no_more() -> None:
+    rules = GroupRules(Tolerance(1, 1), TWO_OR_A_ZONE.topology)
     up = replicas(a=2, b=2, c=1, d=1)
     pair = settle(up[:4], up, rules)
     assert not bears(up[:4], rules) and bears(pair[-1], rules)
 
 
-def test_a_retired_replica_goes_and_the_group_still_bears_what_it_should() -> None:
+def test_a_retired_replica_leaves_and_the_group_still_tolerates_its_losses() -> None:
     up = replicas(a=3, b=3, c=3, d=2)
     members = first_members(tuple(up), 5, TWO_OR_A_ZONE)
     assert members is not None
@@ -169,7 +167,7 @@
 
 def test_a_region_may_be_lost_where_there_are_three() -> None:
     places = Topology({"x1": "x", "x2": "x", "x3": "x", "y": "y", "z": "z"})
-    rules = PlaceRules(Tolerance(machines=1, regions=1), places)
+    rules = GroupRules(Tolerance(machines=1, regions=1), places)
     up = replicas(x1=2, x2=2, x3=2, y=2, z=2)
     chosen = first_members(tuple(up), 5, rules)
     assert chosen is not None and bears(chosen, rules)
@@ -186,7 +184,7 @@
 
 
 def test_most_members_are_in_one_region_where_none_need_be_lost_and_stay_there() -> None:
-    rules = PlaceRules(Tolerance(machines=2), TWO_REGIONS)
+    rules = GroupRules(Tolerance(machines=2), TWO_REGIONS)
     up = replicas(s1=2, n1=2, s2=2, n2=1, s3=1, n3=1)
     members = first_members(tuple(up), 5, rules)
     assert members is not None
@@ -198,12 +196,12 @@
 
 
 @pytest.mark.parametrize("seed", range(80))
-def test_no_other_choice_bears_more_than_the_first_group_or_a_repaired_one(seed: int) -> None:
+def test_no_other_choice_tolerates_more_than_the_first_group_or_a_repaired_one(seed: int) -> None:
     random_ = random.Random(seed)
     tolerance = Tolerance(
         random_.choice((1, 2)), random_.choice((0, 1, 1, 2)), random_.choice((0, 0, 1))
     )
-    rules = PlaceRules(tolerance, TWO_REGIONS)
+    rules = GroupRules(tolerance, TWO_REGIONS)
     up = replicas(**{zone: random_.randint(0, 3) for zone in TWO_REGIONS.regions})
     size = tolerance.smallest_size
     up += replicas(s1=9)[3 : 3 + max(0, size - len(up))]
--- a/src/pondtiller/steplog/tests/test_group.py
+++ b/src/pondtiller/steplog/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Quorums meet each other, and the group follows losses, returns, spares and retirements."""
+"""Quorums intersect, and the group follows losses, returns, spares and retirements."""
 
 from itertools import combinations
 
@@ -56,7 +56,7 @@
     assert decide((A, B, C, D)) == []
 
 
-def test_a_replica_that_lost_its_disk_takes_its_own_place() -> None:
+def test_a_replica_that_lost_its_disk_replaces_itself() -> None:
     fresh = member("b", "b-1", "z-b")
     assert decide((A, fresh, C)) == ["a/a-0", "b/b-1", "c/c-0"]
 
--- a/src/pondtiller/steplog/tests/test_holder.py
+++ b/src/pondtiller/steplog/tests/test_holder.py
@@ -1,8 +1,8 @@
-"""The right to order engines: the last claim is found again by whoever leads next."""
+"""The permission to order engines: the last claim is found by the next leader."""
 
 from pondtiller.steplog.entry import Entry
 from pondtiller.steplog.holder import holder_key, holder_of
-from pondtiller.steplog.instructions import Won
+from pondtiller.steplog.instructions import ElectionWon
 from pondtiller.steplog.tests.cluster import Cluster, Daemon
 
 
@@ -17,12 +17,12 @@
     assert holder_of([Entry(key="step/x", value=b"d")]) == ""
 
 
-def test_a_successor_learns_the_last_claim_and_replicas_tell_it() -> None:
+def test_a_successor_reads_the_last_claim_from_the_replicas() -> None:
     cluster = Cluster(5)
-    won: list[Won] = []
+    won: list[ElectionWon] = []
     check = cluster._check_won
 
-    def note(daemon: Daemon, each: Won) -> None:
+    def note(daemon: Daemon, each: ElectionWon) -> None:
         won.append(each)
         check(daemon, each)
 
--- a/src/pondtiller/steplog/tests/test_order_notes.py
+++ b/src/pondtiller/steplog/tests/test_order_notes.py
@@ -1,9 +1,9 @@
-"""Who may order an engine: never two daemons within a lease, whatever happens to the log."""
+"""Permission to order an engine: never for two daemons within a lease, whatever happens."""
 
 import pytest
 
 from pondtiller.steplog.entry import Entry, pack_entries
-from pondtiller.steplog.instructions import Won
+from pondtiller.steplog.instructions import ElectionWon
 from pondtiller.steplog.order_notes import ORDER_PREFIX, LastOrder, OrderNote, last_orders
 from pondtiller.steplog.replica import Replica
 from pondtiller.steplog.tests.cluster import Cluster, Daemon
@@ -11,7 +11,8 @@
 
 LEASE_SECONDS = 3.0
 LATEST_ARRIVAL_SECONDS = 1.2
-"""From a note to the arrival of its order, at most; the orders here take a drawn part of it."""
+"""Longest time from a note to the arrival of its order; the orders here take a random part of
+it."""
 NOTE_SECONDS = 0.5
 ENGINE = "10.0.0.1:80"
 
@@ -21,13 +22,13 @@
 
     Parameters
     ----------
-    heeds_notes
-        Whether a new leader waits for the last order of another; off, the check must fail.
+    respects_notes
+        Whether a new leader waits for the last order of another; if not, the check must fail.
     """
 
-    def __init__(self, cluster: Cluster, heeds_notes: bool = True) -> None:
+    def __init__(self, cluster: Cluster, respects_notes: bool = True) -> None:
         self.cluster = cluster
-        self.heeds_notes = heeds_notes
+        self.respects_notes = respects_notes
         self.waits: dict[str, float] = {}
         self.under_way: dict[str, tuple[str, float]] = {}
         self.arrived: list[tuple[float, str]] = []
@@ -35,7 +36,7 @@
         self.won, cluster._check_won = cluster._check_won, self._won  # type: ignore[method-assign]
         self.note, cluster._note_committed = cluster._note_committed, self._noted  # type: ignore[method-assign]
 
-    def _won(self, daemon: Daemon, won: Won) -> None:
+    def _won(self, daemon: Daemon, won: ElectionWon) -> None:
         self.won(daemon, won)
         last = won.last_orders.get(ENGINE)
         is_other = last is not None and last.gateway != daemon.name
@@ -44,7 +45,7 @@
 
     def _lead(self, daemon: Daemon) -> None:
         now = self.cluster.now
-        is_free = not self.heeds_notes or now >= self.waits.get(daemon.name, 0.0)
+        is_free = not self.respects_notes or now >= self.waits.get(daemon.name, 0.0)
         if is_free and self.cluster.random.random() < 0.3:
             key = daemon.log.note_order(ENGINE)
             self.under_way[key] = (daemon.name, now)
@@ -62,7 +63,7 @@
             self.arrived.append((now + seconds, name))
 
     def check(self) -> None:
-        """Raise where two daemons' orders arrived within a lease of each other."""
+        """Raise if two daemons' orders arrived within a lease of each other."""
         self.arrived.sort()
         for (at, name), (next_at, next_name) in zip(self.arrived, self.arrived[1:], strict=False):
             assert name == next_name or next_at - at >= LEASE_SECONDS, (
@@ -73,10 +74,10 @@
             )
 
 
-def play(seed: int, heeds_notes: bool = True) -> Orders:
-    """Play 60 s in which replicas and leaders lose power, links, or stand still."""
+def play(seed: int, respects_notes: bool = True) -> Orders:
+    """Play 60 s in which replicas and leaders lose power, links, or are paused."""
     cluster = Cluster(seed)
-    orders = Orders(cluster, heeds_notes)
+    orders = Orders(cluster, respects_notes)
     for _ in range(20):
         cluster.run(1.0 + cluster.random.random() * 4.0)
         leading = [n for n, each in enumerate(cluster.daemons) if each.log.is_leading]
@@ -105,7 +106,7 @@
 def test_daemons_do_take_turns_and_the_check_sees_it_without_the_notes() -> None:
     with pytest.raises(AssertionError):
         for seed in range(12):
-            play(seed, heeds_notes=False)
+            play(seed, respects_notes=False)
     names = {name for seed in range(4) for _, name in play(seed).arrived}
     assert len(names) > 1
 
--- a/src/pondtiller/steplog/tests/test_replica.py
+++ b/src/pondtiller/steplog/tests/test_replica.py
@@ -19,7 +19,7 @@
     return Prepare(epoch=epoch, leader=leader, first_group=group)
 
 
-def test_a_lease_holds_others_off_until_it_ends_or_is_given_back() -> None:
+def test_a_lease_excludes_others_until_it_ends_or_is_released() -> None:
     one = replica()
     assert one.prepare(prepare(1), 5.0).message.granted
     refusal = one.prepare(prepare(2, "b"), 5.1).message
@@ -30,7 +30,7 @@
     assert one.prepare(prepare(3, "c"), 5.2 + LEASE_SECONDS).message.granted
 
 
-def test_a_deposed_leader_is_refused_and_told_why() -> None:
+def test_a_deposed_leader_is_refused_with_a_reason() -> None:
     one = replica()
     one.prepare(prepare(1), 5.0)
     one.prepare(prepare(2, "b"), 9.0)
@@ -55,7 +55,7 @@
 
 
 def test_a_replica_that_starts_again_grants_the_daemon_that_it_followed_at_once() -> None:
-    """After a loss of all power every new term waited for a lease that nobody could hold."""
+    """Guards against terms that, after a power loss, wait for a lease that nobody can hold."""
     one = replica()
     reply = one.prepare(prepare(5), 5.0)
     assert reply.record is not None
@@ -95,8 +95,8 @@
     assert group_key(1) in one.entries
 
 
-def test_what_tells_of_a_changed_view_changes_with_it_and_not_otherwise() -> None:
-    """A view is made and sent only when this differs, so nothing of it may be left out."""
+def test_the_view_fingerprint_changes_with_the_view_and_not_otherwise() -> None:
+    """A view is built and sent only when this differs, so it must cover the whole view."""
     one = replica()
     known = [(one.view_state(4.9), one.view(4.9))]
     one.prepare(prepare(1), 5.0)
--- a/src/pondtiller/steplog/unwritten.py
+++ b/src/pondtiller/steplog/unwritten.py
@@ -1,7 +1,7 @@
 """A leader's writes that are not on a write quorum yet, or were not sent yet. No I/O.
 
-Owns the numbers of writes and what waits; lasts for one term, but for the count of numbers. Which
-number a quorum has on disk is known to `voting.py`.
+Holds the numbers of writes and the pending ones for one term; the counter of numbers continues.
+Which number a quorum has on disk is computed in `voting.py`.
 """
 
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class UnsentWrites(NamedTuple):
-    """Writes that go into the next message to each replica."""
+    """Writes for the next message to each replica."""
 
     puts: list[Entry]
     drops: list[str]
 
 
 class UnwrittenValues:
-    """Writes under way.
+    """Pending writes.
 
     Attributes
     ----------
@@ -40,29 +40,29 @@
         self.take_unsent()
 
     def put(self, entry: Entry) -> None:
-        """Take a value that is to be written."""
+        """Add a value to write."""
         self.sequence += 1
         self._pending[entry.key] = self.sequence
         self._unsent.puts.append(entry)
 
     def drop(self, key: str) -> None:
-        """Take a key that is to be removed."""
+        """Add a key to remove."""
         self._pending.pop(key, None)
         self._unsent.drops.append(key)
 
     def take_unsent(self) -> UnsentWrites | None:
-        """Return what was written since the last call; None where nothing was."""
+        """Return the writes since the last call; None if there are none."""
         if not self._unsent.puts and not self._unsent.drops:
             return None
         taken, self._unsent = self._unsent, UnsentWrites([], [])
         return taken
 
-    def forget_unsent_puts(self) -> None:
-        """Send no value that each replica gets with what it lacks."""
+    def drop_unsent_puts(self) -> None:
+        """Drop unsent values, which each replica gets when it is brought up to date."""
         self._unsent.puts.clear()
 
     def oldest(self) -> int | None:
-        """Return the number of the oldest write under way; None without any."""
+        """Return the number of the oldest pending write; None without any."""
         return next(iter(self._pending.values()), None)
 
     def written(self, number: float) -> list[str]:
@@ -70,5 +70,5 @@
         return [key for key, each in self._pending.items() if each <= number]
 
     def committed(self, key: str) -> None:
-        """Take that a write is on a write quorum."""
+        """Record that a write is on a write quorum."""
         del self._pending[key]
--- a/src/pondtiller/steplog/voting.py
+++ b/src/pondtiller/steplog/voting.py
@@ -1,8 +1,8 @@
 """The groups whose quorums count for a leader, and the disks that are known to be lost. No I/O.
 
-Owns the group in force, the one that is to replace it, and during a takeover the groups that
-promises named. Lasts for one term, but for the lost disks, which a process knows until it ends.
-Which members a group should have is decided in `group_policy.py`.
+Holds the group in force, the one that is to replace it, and during a takeover the groups that
+promises named, for one term; lost disks are remembered for the life of the process. Which members a
+group should have is decided in `group_policy.py`.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,11 +20,11 @@
     Attributes
     ----------
     group
-        The group in force; generation 0 while none is known.
+        The group in force; generation 0 if unknown.
     next_group
-        The group that is to replace it; None while no change is under way.
+        The group that is to replace it; None while there is no change.
     lost_disks
-        Disks of members that came back with another one.
+        Disks of members that returned with another disk.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self._oldest = 0
 
     def learn(self, found: list[Group]) -> None:
-        """Take the groups that one replica holds; older ones than its oldest are over."""
+        """Add the groups that one replica has; those older than its oldest are obsolete."""
         for each in found:
             self._known[each.generation] = each
         if found:
@@ -58,7 +58,7 @@
         return voting
 
     def settle(self, phase: Phase) -> None:
-        """Take the newest of the learnt groups as in force, once the log has been read.
+        """Put the newest of the learnt groups in force, once the log has been read.
 
         A newer group may not be written yet, so the one that it replaces counts as well.
         """
@@ -67,7 +67,7 @@
         self.next_group = voting[1] if len(voting) > 1 else None
 
     def finish_change(self, key: str) -> bool:
-        """Put the next group in force where a key is its; False where it is not."""
+        """Put the next group in force if a key is its key; return False otherwise."""
         change = self.next_group
         if change is None or groups.group_key(change.generation) != key:
             return False
@@ -78,10 +78,10 @@
         """Return the names of the members of the group in force."""
         return {member.name for member in self.group.members}
 
-    # Quorums
+    # Quorums of the voting groups
 
     def have_read_quorums(self, phase: Phase, answered: set[str]) -> bool:
-        """Return whether the disks that answered meet every write of each voting group."""
+        """Return whether the disks that answered intersect every write of each voting group."""
         voting = self.voting(phase)
         return bool(voting) and all(groups.has_read_quorum(each, answered) for each in voting)
 
@@ -102,9 +102,9 @@
         return min(numbers, default=float("inf"))
 
     def lease_until(self, phase: Phase, followers: Mapping[int, Follower]) -> float:
-        """Return until when a write quorum of each voting group keeps others from leading.
+        """Return until when a write quorum of each voting group excludes other leaders.
 
-        In seconds of the steady clock; minus infinity without a quorum.
+        In monotonic seconds; minus infinity without a quorum.
         """
         untils = [self._lease_of(each, followers) for each in self.voting(phase)]
         return min(untils, default=float("-inf"))
@@ -121,7 +121,7 @@
         return lease_until(consented_at, needed)
 
     def note_lost_disk(self, phase: Phase, member: GroupMember) -> None:
-        """Take that a member is connected: with another disk, its old one is lost."""
+        """Record a connected member: if it has another disk, its old one is lost."""
         for each in self.voting(phase):
             known = groups.member_named(each, member.name)
             if known is not None and known.disk != member.disk:
--- a/src/pondtiller/store/evacuation_bounds.py
+++ b/src/pondtiller/store/evacuation_bounds.py
@@ -10,7 +10,7 @@
 from pondtiller.store.mirror import CHECK_SECONDS, MIRROR_TIMES
 from pondtiller.store.mirrored_store import (
     ANSWER_SECONDS,
-    LONGEST_WAIT_SECONDS,
+    MAX_WAIT_SECONDS,
     RETRY_SECONDS,
     TOLD_SECONDS,
 )
@@ -24,7 +24,7 @@
 """From the last look at the gate until the request is at the engine."""
 
 MIRRORED_NEWS_SECONDS = (
-    max(LONGEST_WAIT_SECONDS + ANSWER_SECONDS, MIRROR_TIMES.fresh_seconds + CHECK_SECONDS)
+    max(MAX_WAIT_SECONDS + ANSWER_SECONDS, MIRROR_TIMES.fresh_seconds + CHECK_SECONDS)
     + (TOLD_SECONDS + RETRY_SECONDS)
     + ANSWER_SECONDS
     + STORE_SECONDS
@@ -37,11 +37,11 @@
 )
 """A call to the store hangs to its end, and the next one brings the change; one that is refused is
 followed by a pause."""
-LONGEST_SECONDS = max(MIRRORED_NEWS_SECONDS, DIRECT_NEWS_SECONDS) + SEND_SECONDS
+MAX_SECONDS = max(MIRRORED_NEWS_SECONDS, DIRECT_NEWS_SECONDS) + SEND_SECONDS
 
 
 def reason_against(within: float) -> str | None:
     """Return why evacuations cannot be in force within so many seconds; None where they can."""
-    if within == 0 or within > LONGEST_SECONDS:
+    if within == 0 or within > MAX_SECONDS:
         return None
-    return f"news of an evacuation may take {LONGEST_SECONDS:.2f} s: give more, or 0 for none"
+    return f"news of an evacuation may take {MAX_SECONDS:.2f} s: give more, or 0 for none"
--- a/src/pondtiller/store/mirror.py
+++ b/src/pondtiller/store/mirror.py
@@ -38,7 +38,7 @@
 from pondtiller.store.store_watch import StoreHealth, StoreReader, Watch
 from pondtiller.wire.steplog import MirrorPage, ReadMirror
 
-FEWEST_FOLLOWERS = 6
+MIN_FOLLOWERS = 6
 """A gateway that follows both kinds itself makes 0.85 calls a second (47 in a day of 56 s, large
 site, `quiet-1`); a mirror makes 2 to 4, most of them to know that it still hears the store."""
 WAIT_SECONDS = 0.8
@@ -148,7 +148,7 @@
 
         Of those that each mirror follows.
         """
-        return clock.monotonic() - min(self._followed[kind].heard_at for kind in ALWAYS)
+        return clock.monotonic() - min(self._followed[kind].last_answer_at for kind in ALWAYS)
 
     def is_fresh(self) -> bool:
         """Return whether the mirror may answer: each kind was read lately.
@@ -163,14 +163,14 @@
         times = self._further.get(kind)
         if times is None:
             return kind in self.kinds and self.is_fresh()
-        age = clock.monotonic() - self._followed[kind].heard_at
+        age = clock.monotonic() - self._followed[kind].last_answer_at
         return self.is_on and bool(self.kinds[kind].at) and age < times.fresh_seconds
 
     async def run(self) -> None:
         """Follow the store while enough gateways follow this replica, until cancelled."""
         answered_before: set[str] = set()
         while True:
-            is_wanted = self._expected_followers() >= FEWEST_FOLLOWERS
+            is_wanted = self._expected_followers() >= MIN_FOLLOWERS
             if is_wanted != self.is_on:
                 await self._switch(is_wanted)
             answered = {kind for kind in self.kinds if self._may_answer(kind)}
@@ -240,5 +240,5 @@
             return MirrorPage(status=MirrorStatus.UNAVAILABLE)
         kind = self.kinds[message.kind]
         page = kind.since(message.at) if message.at else kind.listing()
-        set_age(page, clock.monotonic() - self._followed[message.kind].heard_at)
+        set_age(page, clock.monotonic() - self._followed[message.kind].last_answer_at)
         return page
--- a/src/pondtiller/store/mirrored_store.py
+++ b/src/pondtiller/store/mirrored_store.py
@@ -40,7 +40,7 @@
 
 ANSWER_SECONDS = 0.6
 """How long after its wait a mirror may be silent before another one is asked."""
-LONGEST_WAIT_SECONDS = 1.5
+MAX_WAIT_SECONDS = 1.5
 """A mirror that is cut off from this gateway is noticed when its wait is over, and an engine's
 leaving must be known within 2 s at the least."""
 REFUSED_SECONDS = 2.0
@@ -57,14 +57,14 @@
 RETRY_SECONDS = 0.1
 """Between two looks for a mirror within `TOLD_SECONDS`. Chosen, not measured: a look costs no call
 where no mirror is usable; `evacuation_bounds` counts it once."""
-MOST_SILENT_MIRRORS = 2
+MAX_SILENT_MIRRORS = 2
 """Mirrors that may be silent before the store itself is asked. One that says that it is behind
 costs no time, and the next one is asked."""
-SHORTEST_WAIT_SECONDS = 0.25
+MIN_WAIT_SECONDS = 0.25
 """Below this a mirror is not asked to wait: such calls would follow each other all the time."""
-SHORTEST_ASK_SECONDS = 0.1
+MIN_ASK_SECONDS = 0.1
 """Below this no mirror is asked at all: one in another region answers after 40 ms."""
-LONGEST_NEWS_SECONDS = LONGEST_WAIT_SECONDS + MOST_SILENT_MIRRORS * ANSWER_SECONDS + STORE_SECONDS
+MAX_NEWS_SECONDS = MAX_WAIT_SECONDS + MAX_SILENT_MIRRORS * ANSWER_SECONDS + STORE_SECONDS
 """From a change of the store until a gateway knows it, where mirrors that were up to date fall
 silent: the first through the whole wait, the next is asked for what it has now."""
 
@@ -142,7 +142,7 @@
     async def watch(self, kind: str, at: int, wait_seconds: float) -> StoreChanges:
         """Return the changes after a revision; raises as the store's own client does."""
         message = ReadMirror(kind=kind, at=at)
-        wait = min(wait_seconds, LONGEST_WAIT_SECONDS)
+        wait = min(wait_seconds, MAX_WAIT_SECONDS)
         page = await self._ask_mirrors(message, wait)
         while page is None and self._may_wait(kind):
             await curio.sleep(RETRY_SECONDS)
@@ -205,7 +205,7 @@
     async def _ask_store(self, kind: str, at: int, wait_seconds: float) -> StoreChanges:
         """Ask the store for changes; a call that gets no answer leaves time for another one."""
         wait = min(wait_seconds, self._left(kind) - WATCH_MARGIN_SECONDS)
-        if wait < min(wait_seconds, SHORTEST_WAIT_SECONDS):
+        if wait < min(wait_seconds, MIN_WAIT_SECONDS):
             # Too late to find out that a kept connection is silent.
             return await self.relayed.changes_by_now(kind, at)
         return await self.relayed.watch(kind, at, wait)
@@ -233,7 +233,7 @@
         silent = 0
         for mirror in self._mirrors():
             left = math.inf if is_late else self._left(message.kind)
-            needed = ANSWER_SECONDS + SHORTEST_WAIT_SECONDS if wait else SHORTEST_ASK_SECONDS
+            needed = ANSWER_SECONDS + MIN_WAIT_SECONDS if wait else MIN_ASK_SECONDS
             if left < needed:
                 return None
             page = await self._ask(mirror, message, min(wait, left - ANSWER_SECONDS), left)
@@ -241,7 +241,7 @@
                 self._refused_until[mirror.name] = clock.monotonic() + REFUSED_SECONDS
             if page is None:
                 silent += 1
-                if silent == MOST_SILENT_MIRRORS:
+                if silent == MAX_SILENT_MIRRORS:
                     return None
                 # It was silent, maybe through the whole wait: what came meanwhile is late.
                 wait = 0.0
@@ -263,7 +263,7 @@
         A member that the store refuses says so at once, and the next one is asked.
         """
         wait = message.wait_milliseconds / 1000.0
-        until = clock.monotonic() + wait + MOST_SILENT_MIRRORS * ANSWER_SECONDS
+        until = clock.monotonic() + wait + MAX_SILENT_MIRRORS * ANSWER_SECONDS
         in_group = {member.name for member in self._replicas.group.members}
         members = [each for each in self._mirrors() if each.name in in_group]
         for member in members:
--- a/src/pondtiller/store/news_times.py
+++ b/src/pondtiller/store/news_times.py
@@ -19,7 +19,7 @@
 """From an answer in the socket until the next request is decided by it: the event loop's lag."""
 SPARE_SECONDS = 0.25
 """Between a sum of waits and its bound, for a pause of the process."""
-SHORTEST_BOUND_SECONDS = 1.5
+MIN_BOUND_SECONDS = 1.5
 """Below this, what is left of a bound is too short for a call that waits and a pause."""
 
 
@@ -89,6 +89,6 @@
 
 def reason_against(within_seconds: float) -> str | None:
     """Return why changes cannot be in force within so many seconds; None where they can."""
-    if within_seconds >= SHORTEST_BOUND_SECONDS:
+    if within_seconds >= MIN_BOUND_SECONDS:
         return None
-    return f"news of a change may take {SHORTEST_BOUND_SECONDS} s: give at least as much"
+    return f"news of a change may take {MIN_BOUND_SECONDS} s: give at least as much"
--- a/src/pondtiller/store/relayed_store.py
+++ b/src/pondtiller/store/relayed_store.py
@@ -35,7 +35,7 @@
 """How long the first call after a refusal waits for changes: until it is answered nothing else is
 heard of its kind."""
 
-LONGEST_PASSED_WAIT_SECONDS = 0.8
+MAX_PASSED_WAIT_SECONDS = 0.8
 """How long a call that is passed on waits: a replica that falls silent is left after it and 0.6 s,
 and the next one answers with what there is: 2 s in all, as long as an engine that leaves may go on
 getting work at the least."""
@@ -167,7 +167,7 @@
 
     async def _passed_on(self, kind: str, at: int, wait_seconds: float) -> StoreChanges | None:
         """Return changes through a replica; None where none can answer."""
-        wait = min(wait_seconds, LONGEST_PASSED_WAIT_SECONDS)
+        wait = min(wait_seconds, MAX_PASSED_WAIT_SECONDS)
         page = await self._ask_replicas(ReadMirror(kind, at, int(wait * 1000), passes_on=True))
         return read_changes(page) if page is not None else None
 
--- a/src/pondtiller/store/store_watch.py
+++ b/src/pondtiller/store/store_watch.py
@@ -29,7 +29,7 @@
 """How long one call waits for changes. Each call has a price: with 3 s, the watches were most of
 623 calls of a quiet day. Longer waits leave a process longer on a store that is silently away; once
 it answers any watch of the process again, all others ask again."""
-SHORTEST_FIRST_WATCH_SECONDS = 1.0
+MIN_FIRST_WATCH_SECONDS = 1.0
 """First waits are drawn between this and the full wait, so that the watches of a process end at
 different times."""
 PROBE_SECONDS = 0.5
@@ -38,7 +38,7 @@
 RETRY_SECONDS = 0.25
 """The first pause after a failed call, doubled each time. Chosen, not measured:
 `evacuation_bounds` counts one such pause."""
-LONGEST_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 1.0
 """Every call has a price, refused ones too; a second is a fifth of the shortest time that the
 platform gives a machine to be connected again."""
 
@@ -125,7 +125,7 @@
     ----------
     at
         Revision of the store up to which everything was passed on; 0 before the first listing.
-    heard_at
+    last_answer_at
         When the store was last known to hold nothing newer, however late its answer was read.
     """
 
@@ -142,7 +142,7 @@
     ) -> None:
         self.at = 0
         self.rest = rest
-        self._longest_retry = longest_retry or (lambda: LONGEST_RETRY_SECONDS)
+        self._longest_retry = longest_retry or (lambda: MAX_RETRY_SECONDS)
         self._wait_seconds = wait_seconds
         self._retry_seconds = RETRY_SECONDS
         self._store = store
@@ -150,7 +150,7 @@
         self._kind = kind
         self._replace = replace
         self._change = change
-        self.heard_at = 0.0
+        self.last_answer_at = 0.0
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -180,7 +180,7 @@
         await self._replace(listing.objects)
         at = self.at = listing.at
         # The watches of a process end at different times, so one of them soon notices a loss.
-        shortest = min(SHORTEST_FIRST_WATCH_SECONDS, self._wait_seconds)
+        shortest = min(MIN_FIRST_WATCH_SECONDS, self._wait_seconds)
         seconds = random.uniform(shortest, self._wait_seconds)
         while True:
             try:
@@ -218,6 +218,6 @@
         )
 
     async def _heard(self, at: int, age_seconds: float) -> None:
-        self.heard_at = max(self.heard_at, clock.monotonic() - age_seconds)
+        self.last_answer_at = max(self.last_answer_at, clock.monotonic() - age_seconds)
         self._retry_seconds = RETRY_SECONDS
         await self._health.heard(self._kind, at)
--- a/src/pondtiller/store/tests/test_answer_age.py
+++ b/src/pondtiller/store/tests/test_answer_age.py
@@ -56,7 +56,7 @@
 def test_a_mirror_does_not_tell_as_fresh_what_it_read_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(store_watch, "SHORTEST_FIRST_WATCH_SECONDS", WAIT_SECONDS)
+    monkeypatch.setattr(store_watch, "MIN_FIRST_WATCH_SECONDS", WAIT_SECONDS)
 
     async def main() -> None:
         mirror = StoreMirror(StoreReadLate(), lambda: 10.0)
--- a/src/pondtiller/store/tests/test_news_times.py
+++ b/src/pondtiller/store/tests/test_news_times.py
@@ -4,13 +4,13 @@
 from pydantic import ValidationError
 
 from pondtiller.settings import News
-from pondtiller.store.news_times import SHORTEST_BOUND_SECONDS, news_times
+from pondtiller.store.news_times import MIN_BOUND_SECONDS, news_times
 
 BOUNDS_SECONDS = (2.0, 3.0, 4.0)
 """What the users' deployments give from the acknowledgement until a version is in force."""
 
 
-@pytest.mark.parametrize("bound", [SHORTEST_BOUND_SECONDS, *BOUNDS_SECONDS, 60.0])
+@pytest.mark.parametrize("bound", [MIN_BOUND_SECONDS, *BOUNDS_SECONDS, 60.0])
 def test_no_sum_of_waits_reaches_the_bound(bound: float) -> None:
     times = news_times(bound)
     assert times.unanswered_seconds < bound
@@ -20,6 +20,6 @@
 
 
 def test_a_bound_that_no_waits_can_keep_is_refused() -> None:
-    assert News(configuration=SHORTEST_BOUND_SECONDS)
+    assert News(configuration=MIN_BOUND_SECONDS)
     with pytest.raises(ValidationError, match="news of a change may take"):
-        News(configuration=SHORTEST_BOUND_SECONDS - 0.1)
+        News(configuration=MIN_BOUND_SECONDS - 0.1)
--- a/src/pondtiller/usage/reports.py
+++ b/src/pondtiller/usage/reports.py
@@ -32,7 +32,7 @@
 """Until a report that was not taken is sent again the first time, in seconds; each further wait is
 twice as long, less up to a half by chance. Chosen, not measured: `SEND_MARGIN_SECONDS` holds three
 or more sends."""
-LONGEST_RETRY_SECONDS = 2.0
+MAX_RETRY_SECONDS = 2.0
 """Longest of these waits, in seconds. Chosen, not measured: half of `SEND_MARGIN_SECONDS`; a report
 counts once, however often it is sent."""
 
@@ -183,7 +183,7 @@
         jitter
             Drawn from 0 to 1.
         """
-        wait = min(LONGEST_RETRY_SECONDS, RETRY_SECONDS * 2**report.tries)
+        wait = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2**report.tries)
         report.tries += 1
         report.retry_at = now + wait * (0.5 + jitter / 2)
 
--- a/src/pondtiller/usage/tests/test_usage.py
+++ b/src/pondtiller/usage/tests/test_usage.py
@@ -4,7 +4,7 @@
 from pondtiller.usage.ledger import UseLedger
 from pondtiller.usage.meter import UseMeter, UseRow, pack_rows, unpack_rows
 from pondtiller.usage.reports import (
-    LONGEST_RETRY_SECONDS,
+    MAX_RETRY_SECONDS,
     SEND_MARGIN_SECONDS,
     SETTLE_SECONDS,
     TELL_SECONDS,
@@ -198,7 +198,7 @@
     assert reports.next_send(1.0) is first
     reports.failed(first, 1.0, jitter=1.0)
     assert reports.next_send(1.0) is None
-    assert reports.next_send(1.0 + LONGEST_RETRY_SECONDS) is first
+    assert reports.next_send(1.0 + MAX_RETRY_SECONDS) is first
     reports.finish(first)
     assert reports.next_send(1.0) is second
 
--- a/tools/bench_leader.py
+++ b/tools/bench_leader.py
@@ -46,7 +46,7 @@
         self.steward = VersionSteward(self.engines)
         self.steward.may_order_from = 0.0
         for each in entries:
-            self.steward.reported(each.engine, dict(versions), 0, busy=False)
+            self.steward.note_report(each.engine, dict(versions), 0, busy=False)
         self.scheduler = SampleScheduler(self.engines, self.steward.is_loading)
         self.book = StepBook()
 
@@ -64,20 +64,22 @@
     def name_versions(self) -> int:
         """Name the next version of each model, carry all orders out; return how many there were."""
         for model in MODELS:
-            self.steward.named(model, 2)
+            self.steward.note_version(model, 2)
         orders = 0
         now = 0.0
         while True:
             now += 0.1
             self.steward.tick(now)
-            given = [each for each in self.steward.take() if isinstance(each, OrderVersion)]
+            given = [
+                each for each in self.steward.pop_instructions() if isinstance(each, OrderVersion)
+            ]
             if not given:
                 return orders
             for order in given:
                 orders += 1
                 entry = self.engines.engines[order.engine].entry
                 models = {**entry.models, order.model: order.version}
-                self.steward.answered(order.engine, True, now)
+                self.steward.note_answer(order.engine, True, now)
                 self.engines.changed(replace(entry, models=models))
 
 
--- a/tools/bench_path.py
+++ b/tools/bench_path.py
@@ -57,7 +57,7 @@
 scorer_host = "127.0.0.1"
 scorer_port = {platform}
 """
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
@@ -72,7 +72,7 @@
 def processor_seconds(pid: int) -> float:
     """Return user and system time of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def resident_mebibytes(pid: int) -> float:
--- a/tools/bench_steplog.py
+++ b/tools/bench_steplog.py
@@ -16,7 +16,7 @@
 from pondtiller.replica.file import LogFile
 from pondtiller.rollouts.step_keys import result_key, step_key
 from pondtiller.rollouts.steps import StepBook
-from pondtiller.steplog.instructions import Send, Won
+from pondtiller.steplog.instructions import ElectionWon, Send
 from pondtiller.steplog.leader import LeaderLog
 from pondtiller.steplog.replica import Replica
 from pondtiller.wire.steplog import (
@@ -47,24 +47,24 @@
         self.now = 10.0
         self.replica_seconds = 0.0
         self.sent_bytes = 0
-        self.won: Won | None = None
+        self.won: ElectionWon | None = None
 
     def leader(self, identity: int, highest: int) -> LeaderLog:
         """Have a fresh leader take over."""
         log = LeaderLog(f"l{identity}", "h", 1, identity)
         for number, member in enumerate(self.members, start=1):
             log.connected(number, member, self.now)
-        log.stand(highest, Group(generation=1, members=self.members), self.now)
+        log.campaign(highest, Group(generation=1, members=self.members), self.now)
         self.carry_out(log)
         return log
 
     def carry_out(self, log: LeaderLog) -> None:
         """Deliver messages until none is left."""
-        while instructions := log.take():
+        while instructions := log.pop_instructions():
             for instruction in instructions:
                 if isinstance(instruction, Send):
                     self._deliver(log, instruction)
-                elif isinstance(instruction, Won):
+                elif isinstance(instruction, ElectionWon):
                     self.won = instruction
 
     def _deliver(self, log: LeaderLog, send: Send) -> None:
