--- a/src/pondtiller/coordination/registers/acceptor.py
+++ b/src/pondtiller/coordination/registers/acceptor.py
@@ -1,7 +1,7 @@
 """One replica of the registers: promises, accepted values, sealing and state transfer.
 
-Invariants: a replica never accepts below a promise; it votes only in a configuration that
-names its own storage; and once sealed in an epoch it never votes in that epoch again.
+Invariants: a replica never accepts below a promise; it votes only in a configuration that names its
+own storage; and once sealed in an epoch it never votes in that epoch again.
 """
 
 from dataclasses import dataclass, field, replace
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """What a replica knows of one register."""
+    """A replica's state of one register."""
 
     promised: Ballot = ZERO
     accepted: Ballot = ZERO
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """State received for a configuration that is not in force yet."""
+    """State received for a configuration that is not active yet."""
 
     epoch: int
     nonce: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordChanged:
-    """A record to write to the journal before any reply leaves.
+    """A record to write to the journal before any reply is sent.
 
     Attributes
     ----------
@@ -85,7 +85,7 @@
     key
         Key of the register.
     record
-        The record as it stands now.
+        The current record.
     """
 
     shard: int
@@ -95,12 +95,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardChanged:
-    """A shard to write to the journal: activated, sealed, or given up with epoch 0.
+    """A shard to write to the journal: activated, sealed, or dropped with epoch 0.
 
     Attributes
     ----------
     records
-        All records of the shard where they were replaced, None where they stay.
+        All records of the shard if they were replaced, None if they are unchanged.
     """
 
     shard: int
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallKept:
-    """State for a configuration that may come in force, to write to the journal."""
+    """State for a configuration that may become active, to write to the journal."""
 
     install: wire.Install
 
@@ -124,12 +124,12 @@
 
 
 class Acceptor:
-    """The registers that one member holds for all shards it is a replica of.
+    """The registers that one member stores for all shards it is a replica of.
 
     Parameters
     ----------
     identity
-        This member's name with the storage that it speaks for.
+        This member's name and the storage for which it votes.
     """
 
     def __init__(self, identity: Replica) -> None:
@@ -140,11 +140,11 @@
         self._changed: list[JournalEntry] = []
 
     def record_count(self) -> int:
-        """Return how many registers this replica holds."""
+        """Return how many registers this replica stores."""
         return sum(len(shard.records) for shard in self._shards.values())
 
     def sealed_since(self, before: float) -> set[int]:
-        """Return the shards sealed here before a time whose next configuration is missing."""
+        """Return the shards sealed here before a time that have no next configuration."""
         return {
             number
             for number, shard in self._shards.items()
@@ -152,7 +152,7 @@
         }
 
     def adopt_configuration(self, configuration: ReplicaConfiguration) -> None:
-        """Activate what the newest configuration gives this replica."""
+        """Activate this replica's shards of the newest configuration."""
         for shard in configuration.shards:
             self._adopt_shard(shard)
 
@@ -162,7 +162,7 @@
             return
         waiting = self._pending.get(configuration.shard, [])
         records = _state_for(configuration, waiting)
-        # State for a later configuration may be here already; it stays.
+        # State for a later configuration may already be here; it is kept.
         self._pending[configuration.shard] = [
             pending for pending in waiting if pending.epoch > configuration.epoch
         ]
@@ -179,7 +179,7 @@
         self._note_shard(configuration.shard, with_records=True)
 
     def _note_record(self, number: int, key: str, record: Record) -> None:
-        # A copy as it stands; only a member with a journal goes on to encode it.
+        # A copy of the current state; only a member with a journal encodes it.
         self._changed.append(RecordChanged(number, key, replace(record)))
 
     def _note_shard(self, number: int, with_records: bool) -> None:
@@ -191,7 +191,7 @@
         self._changed.append(ShardChanged(number, shard.epoch, shard.nonce, is_sealed, records))
 
     def restore(self, entry: JournalEntry, now: float) -> None:
-        """Take back one entry of the journal, in the order in which they were written."""
+        """Restore one entry of the journal; entries must come in the order of writing."""
         if isinstance(entry, InstallKept):
             self._keep_install(entry.install, now)
         elif isinstance(entry, RecordChanged):
@@ -202,7 +202,7 @@
             self._put(entry.shard, _Shard(entry.epoch, entry.nonce, sealed_at))
 
     def receive(self, message: Request, now: float) -> Reply:
-        """Handle one request and return the reply; never blocks, never waits."""
+        """Handle one request and return the reply; never blocks."""
         if isinstance(message, wire.Prepare):
             return self._prepare(message, now)
         if isinstance(message, wire.Accept):
@@ -212,12 +212,12 @@
         return self._install(message, now)
 
     def take_changed(self) -> list[JournalEntry]:
-        """Return and forget what must be journalled since the last call."""
+        """Return and clear the entries to be journalled since the last call."""
         changed, self._changed = self._changed, []
         return changed
 
     def forget(self, prefix: str, before: float) -> int:
-        """Drop registers under `prefix` not changed since `before`; return how many."""
+        """Drop registers under `prefix` unchanged since `before`; return how many."""
         dropped = 0
         for shard in self._shards.values():
             old = [
@@ -231,9 +231,9 @@
         return dropped
 
     def _active(self, label: str, key: str) -> int | None:
-        """Return the number of the shard where this replica votes on `key`, else None.
+        """Return the number of the shard in which this replica votes on `key`, else None.
 
-        A sealed replica still votes on who succeeds its configuration.
+        A sealed replica still votes on the successor of its configuration.
         """
         number = self._numbers.get(label)
         if number is None:
@@ -242,7 +242,7 @@
         return number if is_open else None
 
     def _put(self, number: int, shard: _Shard | None) -> None:
-        """Replace what this replica holds of a shard; None gives it up."""
+        """Replace this replica's state of a shard; None drops it."""
         known = self._shards.pop(number, None)
         if known is not None:
             self._numbers.pop(epoch_label(number, known.epoch, known.nonce), None)
--- a/src/pondtiller/coordination/registers/configuration.py
+++ b/src/pondtiller/coordination/registers/configuration.py
@@ -1,8 +1,8 @@
-"""Which replicas hold which shard: for each shard a chain of configurations, one an epoch.
+"""The replicas of each shard: for each shard a chain of configurations, one per epoch.
 
-A link of the chain is decided by the replicas of the link before it, so no other service
-is needed to replace a replica. The platform's object service holds the first link, and
-later a copy of the newest ones for daemons that start.
+A link of the chain is decided by the replicas of the previous link, so that replacing a replica
+needs no other service. The platform's object service holds the first link, and later a copy of the
+newest ones for daemons that start.
 """
 
 from pydantic import BaseModel, ConfigDict, Field
@@ -16,7 +16,7 @@
 SUCCESSOR_KEY = "!successor"
 CONTROL_PREFIX = "control/"
 CONTROL_SHARD = 0
-"""Shard of the keys under `CONTROL_PREFIX`. A name, not a measure."""
+"""Shard of the keys under `CONTROL_PREFIX`; an identifier."""
 
 
 def epoch_label(shard: int, epoch: int, nonce: str) -> str:
@@ -25,7 +25,7 @@
 
 
 class Replica(BaseModel):
-    """One replica: a member together with the storage that makes it trustworthy."""
+    """One replica: a member together with the storage that its votes rely on."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -47,20 +47,20 @@
 
     @property
     def document_name(self) -> str:
-        """Name of the document that spreads this shard's newest configuration."""
+        """Name of the document that distributes this shard's newest configuration."""
         return f"{DOCUMENT_PREFIX}{self.shard}"
 
     @property
     def label(self) -> str:
-        """What the messages of a register change carry to name this configuration."""
+        """Name of this configuration in the messages of a register change."""
         return epoch_label(self.shard, self.epoch, self.nonce)
 
     def to_wire(self) -> wire.ReplicaEpoch:
-        """Return what the messages of a replacement carry to name this configuration."""
+        """Return the name of this configuration in the messages of a replacement."""
         return wire.ReplicaEpoch(shard=self.shard, epoch=self.epoch, nonce=self.nonce)
 
     def names(self) -> list[str]:
-        """Return the members that hold the shard."""
+        """Return the members that store the shard."""
         return [replica.name for replica in self.replicas]
 
     def majority(self) -> int:
@@ -76,14 +76,14 @@
     shards: tuple[ShardConfiguration, ...] = Field(default=())
 
     def shard_of(self, key: str) -> ShardConfiguration | None:
-        """Return the configuration that holds `key`, or None where it is not known."""
+        """Return the configuration that stores `key`, or None if it is unknown."""
         if not self.shards:
             return None
         number = shard_number(key, self.shards[0].shard_count)
         return next((shard for shard in self.shards if shard.shard == number), None)
 
     def with_shard(self, changed: ShardConfiguration) -> "ReplicaConfiguration":
-        """Return a copy with one shard added or replaced, unless an older one is given."""
+        """Return a copy with one shard added or replaced, unless the given one is older."""
         by_number = {shard.shard: shard for shard in self.shards}
         known = by_number.get(changed.shard)
         if known is not None and known.epoch >= changed.epoch:
@@ -96,8 +96,8 @@
 def shard_number(key: str, shard_count: int) -> int:
     """Return the shard of a key.
 
-    Keys under `CONTROL_PREFIX` have a shard of their own: what they hold is soon out of
-    date, so the shard can be emptied early where all its replicas were lost.
+    Keys under `CONTROL_PREFIX` have their own shard: their values soon become outdated, so the
+    shard can be emptied early if all its replicas were lost.
     """
     if key.startswith(CONTROL_PREFIX) or shard_count == 1:
         return CONTROL_SHARD
--- a/src/pondtiller/coordination/registers/proposer.py
+++ b/src/pondtiller/coordination/registers/proposer.py
@@ -1,7 +1,7 @@
 """Changes registers: prepare on a majority, apply the change, accept on a majority.
 
-A change may be applied more than once, on a value that already contains it, because the
-outcome of an earlier round can be unknown. Every change must therefore be idempotent.
+A change may be applied more than once, on a value that already contains it, because the outcome of
+an earlier round can be unknown. Every change must therefore be idempotent.
 """
 
 import random
@@ -21,16 +21,14 @@
 from pondtiller.coordination.retries import Backoff
 
 FIRST_RESEND_SECONDS = 0.25
-"""Until a phase that too few replicas answered is sent again the first time, in seconds; each
-further wait is twice as long. Chosen, not measured: three times the 80 ms that an answer between
-regions takes at least."""
+"""Time after which a phase with too few replies is sent again the first time, doubled each time:
+three times the 80 ms that a reply between regions takes at least."""
 MAX_RESEND_SECONDS = 1.0
-"""Longest of these waits, in seconds. Chosen, not measured: operations on a shard that cannot
-answer send one message a second and replica, not a storm."""
+"""Maximum of these waits: operations on a shard that cannot reply send one message a second to each
+replica at most."""
 KEPT_BALLOTS = 4096
 """Registers whose next ballot is kept, the ones written last. Bounds memory; a repeated change of a
-kept register takes one round trip (6 messages on three replicas), of another one two (12). The
-number itself was chosen, not measured."""
+kept register takes one round trip (6 messages on three replicas), of another one two (12)."""
 CONFLICT_BACKOFF = Backoff(first=0.01, maximum=0.5)
 
 Change = Callable[[bytes], bytes]
@@ -45,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterOutcome:
-    """The end of one operation.
+    """Result of one operation.
 
     Attributes
     ----------
@@ -56,7 +54,7 @@
     status
         `UNAVAILABLE` leaves open whether the change took effect.
     value
-        The register's value after the operation; empty where unavailable.
+        The register's value after the operation; empty if unavailable.
     """
 
     operation: int
@@ -89,11 +87,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
+class _KeptBallot:
     """A ballot that a majority promised to this proposer with its last acceptance.
 
-    While nobody else has prepared a higher one, the value is still the newest, so a change
-    may begin with the acceptance. Where somebody has, the acceptance is rejected.
+    While nobody has prepared a higher one, the value is still the newest, so a change may start
+    with the acceptance. Otherwise the acceptance is rejected.
     """
 
     configuration: ShardConfiguration
@@ -122,7 +120,7 @@
         self._deadlines: DeadlineIndex[tuple[str, int]] = DeadlineIndex()
         self._outputs: list[Outbound] = []
         self._outcomes: list[RegisterOutcome] = []
-        self._held: OrderedDict[str, _Held] = OrderedDict()
+        self._kept: OrderedDict[str, _KeptBallot] = OrderedDict()
 
     def start(
         self,
@@ -132,9 +130,9 @@
         timeout_seconds: float,
         fixed: ShardConfiguration | None = None,
     ) -> int:
-        """Begin to change `key` and return the operation's number.
+        """Start to change `key` and return the operation's number.
 
-        The newest configuration of the key's shard is used, or `fixed` where given.
+        Uses the newest configuration of the key's shard, or `fixed` if given.
         """
         self._next_number += 1
         operation = _Operation(self._next_number, key, change, now + timeout_seconds, fixed)
@@ -144,7 +142,7 @@
         return operation.number
 
     def adopt_configuration(self, configuration: ReplicaConfiguration, now: float) -> None:
-        """Use a newer configuration; operations in a shard that changed start again."""
+        """Use a newer configuration; operations in a changed shard start again."""
         self.configuration = configuration
         for operation in list(self._operations.values()):
             newest = operation.fixed or configuration.shard_of(operation.key)
@@ -168,7 +166,7 @@
             self._receive_reject(operation, message, now)
 
     def run(self, now: float) -> None:
-        """Send again what was not answered, and end operations whose time is over."""
+        """Resend unanswered phases, and end operations past their deadline."""
         for kind, number in self._deadlines.take_due(now):
             operation = self._operations.get(number)
             if operation is None:
@@ -181,16 +179,16 @@
                 self._send_phase(operation, now)
 
     def next_deadline(self) -> float | None:
-        """Return when `run` wants to be called next."""
+        """Return when `run` must be called next."""
         return self._deadlines.next_due()
 
     def take_outputs(self) -> list[Outbound]:
-        """Return and forget the messages to send."""
+        """Return and clear the messages to send."""
         outputs, self._outputs = self._outputs, []
         return outputs
 
     def take_outcomes(self) -> list[RegisterOutcome]:
-        """Return and forget the operations that ended."""
+        """Return and clear the outcomes of ended operations."""
         outcomes, self._outcomes = self._outcomes, []
         return outcomes
 
@@ -201,7 +199,7 @@
         operation.promises.clear()
         operation.accepted_by.clear()
         operation.configuration = operation.fixed or self.configuration.shard_of(operation.key)
-        held = self._held.pop(operation.key, None)
+        held = self._kept.pop(operation.key, None)
         if held is not None and held.configuration == operation.configuration:
             operation.ballot = held.ballot
             self._begin_accept(operation, held.value)
@@ -249,21 +247,21 @@
             return
         operation.accepted_by.add(sender)
         if len(operation.accepted_by) >= operation.configuration.majority():
-            self._hold(operation, operation.configuration)
+            self._keep_ballot(operation, operation.configuration)
             self._finish(operation, OutcomeStatus.COMMITTED, operation.value)
 
-    def _hold(self, operation: _Operation, configuration: ShardConfiguration) -> None:
-        held = _Held(configuration, operation.next_ballot, operation.value)
-        self._held[operation.key] = held
-        if len(self._held) > KEPT_BALLOTS:
-            self._held.popitem(last=False)
+    def _keep_ballot(self, operation: _Operation, configuration: ShardConfiguration) -> None:
+        held = _KeptBallot(configuration, operation.next_ballot, operation.value)
+        self._kept[operation.key] = held
+        if len(self._kept) > KEPT_BALLOTS:
+            self._kept.popitem(last=False)
 
     def _receive_reject(self, operation: _Operation, message: wire.Reject, now: float) -> None:
         if message.reason is not wire.RejectReason.HIGHER_BALLOT:
             return
         self._counter = max(self._counter, message.promised_counter)
         operation.conflicts += 1
-        # The round is dead: forget its ballot so that its other replies are ignored.
+        # The round has failed: clear its ballot so that its other replies are ignored.
         operation.ballot = ZERO
         operation.configuration = None
         delay = CONFLICT_BACKOFF.delay(operation.conflicts, self._source)
--- a/src/pondtiller/coordination/registers/reconfigurer.py
+++ b/src/pondtiller/coordination/registers/reconfigurer.py
@@ -1,12 +1,12 @@
 """Replaces lost replicas: seal the old configuration, move its state, agree on the next.
 
-Order of steps for a shard, each safe to repeat and safe to abandon:
+Steps for a shard, each safe to repeat and safe to abandon:
 
 1. Seal a majority of the old replicas. Nothing can be committed there any more.
-2. Merge what they accepted. Every committed value is on at least one of them.
+2. Merge their accepted records. Every committed value is on at least one of them.
 3. Install the merged state on all replicas of the next configuration.
-4. Let the old replicas agree on their successor in a register of their own. Exactly one
-   successor wins; only its replicas, known by its nonce, begin to vote.
+4. Have the old replicas agree on their successor in a register of their own. Exactly one successor
+   wins; only its replicas, identified by its nonce, start to vote.
 """
 
 import random
@@ -23,24 +23,22 @@
 from pondtiller.hashing import rank
 
 RESEND_SECONDS = 0.5
-"""Between two sends of what a replacement still waits for, in seconds. Chosen, not measured: each
-step is safe to repeat, so too short costs messages alone."""
+"""Interval of resending the open requests of a replacement. Each step is safe to repeat, so a short
+interval only costs messages."""
 GIVE_UP_SECONDS = 10.0
-"""After which a replacement is abandoned, in seconds. Chosen, not measured: safe at any moment,
-since the old replicas agree on one successor; it begins anew with the members that are alive
-then."""
+"""Time after which a replacement is abandoned. This is safe at any moment, since the old replicas
+agree on one successor; it starts again with the members that are alive then."""
 SHARDS_AT_A_TIME = 8
-"""Shards whose replicas are replaced together. Chosen, not measured: bounds the state that is moved
-at once when a member is lost; the others follow."""
+"""Shards whose replicas are replaced at a time. Bounds the state that is moved at once when a
+member is lost; the others follow."""
 RESET_EPOCHS = 1000
-"""By how much the epoch of an emptied shard is above the lost one's. Chosen, not measured: far
-above the number of replacements that a member may have missed, so that the empty configuration is
-the newer one everywhere."""
+"""Increase of the epoch of an emptied shard. Far above the number of replacements that a member may
+have missed, so that the empty configuration is the newer one everywhere."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A member that can hold replicas.
+    """A member that can be a replica.
 
     Attributes
     ----------
@@ -49,7 +47,7 @@
     zone
         Zone of the member; replicas of a shard are spread over zones.
     storage
-        Storage that the member speaks for.
+        Storage for which the member votes.
     """
 
     name: str
@@ -63,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SuccessorProposal:
-    """Ask the replicas of `old` to agree that `new` succeeds them."""
+    """Ask the replicas of `old` to agree on `new` as their successor."""
 
     old: ShardConfiguration
     new: ShardConfiguration
@@ -83,14 +81,14 @@
 
 
 class Reconfigurer:
-    """Keeps every shard on live replicas; any member may run one, one at a time should.
+    """Keeps every shard on live replicas; any member may run one, but only one at a time should.
 
     Parameters
     ----------
     name
         Name of this member.
     shard_count
-        Number of shards that a first configuration gets.
+        Number of shards of a first configuration.
     replica_count
         Replicas of each shard.
     source
@@ -110,21 +108,21 @@
         self._proposals: list[SuccessorProposal] = []
 
     def next_deadline(self) -> float | None:
-        """Return when `run` wants to be called next."""
+        """Return when `run` must be called next."""
         return self._resend_at
 
     def take_outputs(self) -> list[Outbound]:
-        """Return and forget the messages to send."""
+        """Return and clear the messages to send."""
         outputs, self._outputs = self._outputs, []
         return outputs
 
     def take_proposals(self) -> list[SuccessorProposal]:
-        """Return and forget the successors to agree on."""
+        """Return and clear the successors to agree on."""
         proposals, self._proposals = self._proposals, []
         return proposals
 
     def first_configuration(self, candidates: list[Candidate]) -> ReplicaConfiguration | None:
-        """Return a first configuration, or None where members are too few."""
+        """Return a first configuration, or None if there are too few members."""
         if len(candidates) < self.replica_count:
             return None
         numbers = range(self.shard_count)
@@ -134,9 +132,9 @@
     def reset_shard(
         self, lost: ShardConfiguration, candidates: list[Candidate]
     ) -> ShardConfiguration | None:
-        """Return an empty configuration for a shard whose majority lost its memory.
+        """Return an empty configuration for a shard whose majority lost its state.
 
-        The caller must have waited until nothing that the shard held matters any more.
+        The caller must have waited until the shard's previous contents no longer matter.
         """
         if len(candidates) < self.replica_count:
             return None
@@ -162,11 +160,10 @@
         lost: set[int],
         now: float,
     ) -> None:
-        """Begin to replace the replicas that are not among `candidates` any more.
+        """Start to replace the replicas that are no longer among `candidates`.
 
-        Shards in `sealed` were left behind by a replacement that was abandoned; they get
-        a next configuration even where no replica is lost. Shards in `lost` have no
-        majority any more and are left alone.
+        Shards in `sealed` remain from an abandoned replacement and get a next configuration even if
+        no replica is lost. Shards in `lost` have no majority any more and are not touched.
         """
         usable = {candidate.replica() for candidate in candidates}
         for shard in configuration.shards:
@@ -199,7 +196,7 @@
         self._transfers[shard.shard] = _Transfer(shard, new, now)
 
     def receive(self, sender: str, message: wire.Sealed | wire.Installed, now: float) -> None:
-        """Handle a replica's answer."""
+        """Handle a replica's reply."""
         transfer = self._transfers.get(message.epoch.shard)
         if transfer is None:
             return
@@ -210,7 +207,7 @@
             self._propose_if_ready(transfer)
 
     def run(self, now: float) -> None:
-        """Send again what was not answered and give up what takes too long."""
+        """Resend unanswered requests and abandon replacements that take too long."""
         if self._resend_at is None or now < self._resend_at:
             return
         for shard, transfer in list(self._transfers.items()):
@@ -219,7 +216,7 @@
         self._send_missing(now)
 
     def note_configuration(self, configuration: ReplicaConfiguration) -> None:
-        """Drop replacements of shards that have moved on."""
+        """Drop replacements of shards that have a newer configuration."""
         for shard in configuration.shards:
             transfer = self._transfers.get(shard.shard)
             if transfer is not None and transfer.old.epoch < shard.epoch:
@@ -267,7 +264,7 @@
 def choose_replicas(
     shard: int, survivors: tuple[Replica, ...], candidates: list[Candidate], count: int
 ) -> tuple[Replica, ...]:
-    """Return survivors filled up to `count`, from zones not used yet where possible."""
+    """Return survivors filled up to `count`, from zones not used yet if possible."""
     by_name = {candidate.name: candidate for candidate in candidates}
     chosen = list(survivors)
     zones = {by_name[replica.name].zone for replica in chosen if replica.name in by_name}
--- a/src/pondtiller/coordination/registers/tests/test_reconfigurer.py
+++ b/src/pondtiller/coordination/registers/tests/test_reconfigurer.py
@@ -75,7 +75,7 @@
     assert shards.change(lambda current: b"late") == b""
 
 
-def test_two_reconfigurers_end_with_one_successor():
+def test_two_reconfigurers_agree_on_one_successor():
     shards = Shards()
     first, second = shards.replace("r1", "a"), shards.replace("r2", "a")
     decided = [shards.decide(proposal, "a") for proposal in (first, second)]
@@ -84,7 +84,7 @@
 
 
 def test_state_for_a_later_epoch_survives_an_earlier_configuration():
-    """Found by `simulate crash`: re-reading an old configuration dropped waiting state."""
+    """Found by `simulate crash`: re-reading an old configuration dropped pending state."""
     acceptor = Acceptor(Replica(name="d", storage=1))
     shard = first_configuration(("b", "c", "d")).shards[0]
     second = shard.model_copy(update={"epoch": 2, "nonce": "next", "starts_empty": False})
--- a/src/pondtiller/coordination/registers/tests/test_registers.py
+++ b/src/pondtiller/coordination/registers/tests/test_registers.py
@@ -1,4 +1,4 @@
-"""Registers under lost, doubled and reordered messages, and in every order where small."""
+"""Registers under lost, duplicated and reordered messages, and in every order for small cases."""
 
 import random
 from itertools import count, pairwise
@@ -28,7 +28,7 @@
 
 
 def add_unless_there(token):
-    """A change that appends a token once; applying it again leaves the value alone."""
+    """Return a change that appends a token once; applying it again changes nothing."""
 
     def change(current):
         tokens = current.split()
@@ -135,7 +135,7 @@
     assert all(first == second for first, second in values)
 
 
-def test_majority_is_enough_and_a_minority_is_not():
+def test_a_majority_suffices_and_a_minority_does_not():
     for lost, status in ((1, OutcomeStatus.COMMITTED), (2, OutcomeStatus.UNAVAILABLE)):
         bench = Bench(1)
         for name in NAMES[:lost]:
@@ -161,7 +161,7 @@
 
 
 def count_messages(bench):
-    """Run until nothing is in flight and return how many messages that took."""
+    """Run until nothing is in flight and return the number of messages."""
     bench.collect()
     delivered = 0
     while bench.flight:
--- a/src/pondtiller/gateway/callers/forward.py
+++ b/src/pondtiller/gateway/callers/forward.py
@@ -286,7 +286,7 @@
             connection = await self._sender.take(
                 engine.identifier, engine.entry.address, whole.checked_content, self._send_by(whole)
             )
-            request.beginning.sent(clock.monotonic())
+            request.beginning.note_sent(clock.monotonic())
             is_unanswered = True
             head = await self._sender.send(connection, engine.identifier, request, attempts)
             is_unanswered = False
@@ -294,7 +294,7 @@
             body = b"".join([piece async for piece in connection.read_body()])
             if engine_answers.is_not_run(head.status, head.headers):
                 attempts.sent -= 1
-                request.beginning.refused()
+                request.beginning.note_not_started()
             else:
                 await self.suspects.note_answer(request.content)
             is_answered = 200 <= head.status < 300
--- a/src/pondtiller/gateway/callers/key_freshness.py
+++ b/src/pondtiller/gateway/callers/key_freshness.py
@@ -9,8 +9,8 @@
 
 from pondtiller.process import clock, logs
 from pondtiller.settings import Keys
+from pondtiller.store.change_delays import ChangeDelays
 from pondtiller.store.mirror import FRESH_SECONDS
-from pondtiller.store.news_times import NewsTimes
 
 MARGIN_SECONDS = 0.2
 """Margin for an answer in transit while a request is admitted. A larger one rejects keys earlier;
@@ -33,7 +33,7 @@
         self._last_answer_at = last_answer_at
         self._was_fresh = True
 
-    def times(self, times: NewsTimes) -> NewsTimes:
+    def times(self, times: ChangeDelays) -> ChangeDelays:
         """Return waits after which a call is answered in time even if nothing has changed."""
         if not self._fails_closed:
             return times
--- a/src/pondtiller/gateway/callers/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -217,7 +217,7 @@
         async for piece in connection.read_body():
             held += piece
             for event in reader.feed(piece):
-                stream.request.beginning.first_token(clock.monotonic())
+                stream.request.beginning.note_first_token(clock.monotonic())
                 stream.last_event = max(stream.last_event, event.number)
             whole, separator, rest = held.rpartition(b"\n\n")
             if separator:
--- a/src/pondtiller/gateway/leader/usage_duty.py
+++ b/src/pondtiller/gateway/leader/usage_duty.py
@@ -123,7 +123,7 @@
         self._agreed.note_report(message.daemon, message.wall_seconds, now)
         rows = unpack_rows(message.rows)
         self._note_late(message.daemon, rows)
-        self._news += self.ledger.told(
+        self._news += self.ledger.report(
             message.daemon, message.incarnation, message.complete_until, rows, now
         )
         return UseTaken(
@@ -141,7 +141,7 @@
 
     def committed(self, key: str) -> None:
         """Handle a write of this duty that is on a quorum of disks."""
-        self.reports.written(key)
+        self.reports.note_written(key)
         if key.startswith(DONE_PREFIX):
             for each in self.reports.obsolete(key):
                 self._leadership.log.drop(each)
@@ -164,7 +164,7 @@
         report = self.reports.next_send(now)
         if report is None or agreed_now is None:
             return
-        if self.reports.counts_no_more(report, agreed_now):
+        if self.reports.is_too_late(report, agreed_now):
             self._finish(report, "too late")
         elif now >= self._orders.free_from(SUBJECT, self._pause):
             await self._send(report)
@@ -224,7 +224,7 @@
             self._finish(report, "taken")
         else:
             self._metrics.use_reports_failed += 1
-            self.reports.failed(report, clock.monotonic(), random.random())
+            self.reports.note_failure(report, clock.monotonic(), random.random())
 
     def _finish(self, report: Report, outcome: str) -> None:
         if outcome != "taken":
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -54,9 +54,9 @@
 from pondtiller.routes.topology import Topology
 from pondtiller.settings import GatewaySettings
 from pondtiller.steplog.fault_tolerance import GroupRules
+from pondtiller.store.change_delays import change_delays
 from pondtiller.store.evacuation_watch import EvacuationWatch
 from pondtiller.store.mirrored_store import MirroredStore
-from pondtiller.store.news_times import news_times
 from pondtiller.store.store_watch import StoreHealth
 from pondtiller.usage.meter import UseMeter
 from pondtiller.wire.steplog import Subscribe
@@ -234,8 +234,8 @@
             self._view_changed,
             self._is_leading,
             lambda: self.mirrored_store.follows_mirrors,
-            self._keys.times(news_times(settings.news.configuration)),
-            news_times(settings.news.engines),
+            self._keys.times(change_delays(settings.news.configuration)),
+            change_delays(settings.news.engines),
         )
         self.stale_configuration = StaleConfigurationLog(
             self.front.in_force,
--- a/src/pondtiller/gateway/tests/test_distances.py
+++ b/src/pondtiller/gateway/tests/test_distances.py
@@ -191,7 +191,7 @@
 
 def test_mirrors_of_the_own_zone_then_of_the_own_region_are_asked_first() -> None:
     replicas = SimpleNamespace(
-        places={
+        replicas={
             zone: SimpleNamespace(link=object(), view=SimpleNamespace(replica=member(zone)))
             for zone in ("n1", "s3", "s1", "n2", "s2")
         }
--- a/src/pondtiller/gateway/tests/test_ending_requests.py
+++ b/src/pondtiller/gateway/tests/test_ending_requests.py
@@ -32,7 +32,7 @@
 
 ENDS = 2
 """Crashes under a content after which it is sent to no engine."""
-TOLD_SECONDS = 1.0
+MIRRORS_ONLY_SECONDS = 1.0
 """Time from the last of these crashes until every gateway knows of them."""
 CALLS = 60
 PAUSE_SECONDS = 0.05
@@ -40,7 +40,7 @@
 
 def runs_after_the_last_crash(runs: list[EndingRun], ends: int = ENDS) -> list[EndingRun]:
     runs = sorted(runs, key=lambda run: run.at)
-    return [run for run in runs[ends:] if run.at > runs[ends - 1].at + TOLD_SECONDS]
+    return [run for run in runs[ends:] if run.at > runs[ends - 1].at + MIRRORS_ONLY_SECONDS]
 
 
 async def call_repeatedly(system: System, path: str) -> list[int]:
@@ -345,7 +345,7 @@
         assert answer.status == 202
         listed = await system.read_all("s1", 3)
         assert {each["id"] for each in listed} == {"s1-0", "s1-1", "s1-2"}
-        await curio.sleep(TOLD_SECONDS)
+        await curio.sleep(MIRRORS_ONLY_SECONDS)
         runs = [run for engine in engines for run in engine.runs]
         assert len(runs) >= MAX_SAMPLE_CRASHES
         await curio.sleep(2.0)
--- a/src/pondtiller/gateway/tests/test_evacuation_watch.py
+++ b/src/pondtiller/gateway/tests/test_evacuation_watch.py
@@ -125,4 +125,4 @@
 
 def test_a_hanging_call_ends_before_its_machine_counts_as_connected() -> None:
     # The platform considers a machine connected again 4 s after its network path recovered.
-    assert bounds.DIRECT_NEWS_SECONDS < 4.0
+    assert bounds.DIRECT_CHANGE_SECONDS < 4.0
--- a/src/pondtiller/gateway/tests/test_evacuations.py
+++ b/src/pondtiller/gateway/tests/test_evacuations.py
@@ -397,7 +397,7 @@
         began = clock.monotonic()
         system.store.put("evacuations", "y", {})
         await system.until(lambda: follower.engines.evacuated == {"y"}, 6.0)
-        assert clock.monotonic() - began < bounds.MIRRORED_NEWS_SECONDS
+        assert clock.monotonic() - began < bounds.MIRRORED_CHANGE_SECONDS
 
     run(tmp_path, test, gateways=3)
 
@@ -416,6 +416,6 @@
         began = clock.monotonic()
         system.store.put("evacuations", "y", {})
         await system.until(lambda: follower.engines.evacuated == {"y"}, 6.0)
-        assert clock.monotonic() - began < bounds.MIRRORED_NEWS_SECONDS
+        assert clock.monotonic() - began < bounds.MIRRORED_CHANGE_SECONDS
 
     run(tmp_path, test, gateways=3)
--- a/src/pondtiller/gateway/tests/test_leader_store.py
+++ b/src/pondtiller/gateway/tests/test_leader_store.py
@@ -74,7 +74,7 @@
             raise StoreCallError("reset")
         return found
 
-    async def leave_connections(self) -> None:
+    async def skip_idle_connections(self) -> None:
         return
 
     async def _admit(self) -> None:
--- a/src/pondtiller/gateway/tests/test_mirrored_store.py
+++ b/src/pondtiller/gateway/tests/test_mirrored_store.py
@@ -26,16 +26,16 @@
 from pondtiller.replica import process as replica_process
 from pondtiller.standins.documents import configuration
 from pondtiller.store import mirror as mirrors
+from pondtiller.store.change_delays import ACT_SECONDS, STORE_SECONDS, change_delays
 from pondtiller.store.mirrored_store import (
     ANSWER_SECONDS,
-    FIRST_NOT_MIRRORED_SECONDS,
-    MAX_NEWS_SECONDS,
+    FIRST_MIRRORS_OFF_SECONDS,
+    MAX_CHANGE_SECONDS,
     MAX_SILENT_MIRRORS,
     MAX_WAIT_SECONDS,
     Mirror,
     MirroredStore,
 )
-from pondtiller.store.news_times import ACT_SECONDS, STORE_SECONDS, news_times
 from pondtiller.store.store_watch import StoreHealth, Watch
 from pondtiller.wire.steplog import Group, GroupMember, MirrorPage, ReadMirror
 
@@ -145,7 +145,7 @@
 
 def test_the_longest_way_to_a_configuration_is_shorter_than_any_bound_for_it() -> None:
     # If replicas mirror the store, a configuration must be in force within 3 s.
-    assert MAX_NEWS_SECONDS < 2.95
+    assert MAX_CHANGE_SECONDS < 2.95
 
 
 def test_if_all_mirrors_become_silent_the_store_is_called_in_time(tmp_path: Path) -> None:
@@ -168,7 +168,7 @@
         system.store.put("config", "main", configuration(9, *system.app, *system.llm))
         front = follower.front
         await system.until(lambda: front.table.version == 9, 6.0)
-        assert clock.monotonic() - began < MAX_NEWS_SECONDS
+        assert clock.monotonic() - began < MAX_CHANGE_SECONDS
         assert follower.mirrored_store.reader["config"] == "store"
 
     run_system(tmp_path, test, gateways=2)
@@ -202,11 +202,11 @@
         monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 1000)
         follower = followers(system)[0]
         store = follower.mirrored_store
-        store._not_before, store._not_mirrored_seconds = 0.0, FIRST_NOT_MIRRORED_SECONDS
+        store._not_before, store._not_mirrored_seconds = 0.0, FIRST_MIRRORS_OFF_SECONDS
         await system.until(lambda: store._not_before > 0.0)
-        await curio.sleep(FIRST_NOT_MIRRORED_SECONDS / 2)
+        await curio.sleep(FIRST_MIRRORS_OFF_SECONDS / 2)
         # Both kinds got this answer meanwhile, and it counts once.
-        assert store._not_mirrored_seconds == 2 * FIRST_NOT_MIRRORED_SECONDS
+        assert store._not_mirrored_seconds == 2 * FIRST_MIRRORS_OFF_SECONDS
         monkeypatch.setattr(mirrors, "MIN_FOLLOWERS", 0.5)
         # A mirror that starts may not answer yet when it is asked, and then pauses for 2 s.
         await system.until(lambda: "store" not in store.reader.values(), 6.0)
@@ -271,7 +271,7 @@
 
 def scripted(store: Any, *links: Any, bound: float = 4.0) -> MirroredStore:
     """Return a gateway's reader with these mirrors, nearest first."""
-    replicas: Any = SimpleNamespace(places={}, group=Group())
+    replicas: Any = SimpleNamespace(replicas={}, group=Group())
     reader = MirroredStore("g", "a", store, replicas, lambda: False, None, {"config": bound})
     mirrors_of_it = [Mirror(f"r{number}", "a", link) for number, link in enumerate(links)]
 
@@ -292,7 +292,7 @@
     async def list_all(self, _kind: str) -> StoreListing:
         raise NotImplementedError
 
-    async def leave_connections(self) -> None:
+    async def skip_idle_connections(self) -> None:
         return
 
     async def watch(self, _kind: str, _at: int, wait_seconds: float) -> StoreChanges:
@@ -307,7 +307,7 @@
     def __init__(self) -> None:
         self._has_kept = True
 
-    async def leave_connections(self) -> None:
+    async def skip_idle_connections(self) -> None:
         self._has_kept = False
 
     async def list_all(self, _kind: str) -> StoreListing:
@@ -497,7 +497,7 @@
     async def main() -> None:
         links = [ScriptedLink(silent_but_once), ScriptedLink(never), ScriptedLink(never)]
         reader = scripted(StoreWithSilentConnections(), *links, bound=bound)
-        wait_seconds = news_times(bound).wait_seconds
+        wait_seconds = change_delays(bound).wait_seconds
         watch = Watch(reader, StoreHealth(), "config", replace, ignore, None, wait_seconds)
         began = clock.monotonic()
         task = await curio.spawn(watch.run, daemon=True)
--- a/src/pondtiller/gateway/tests/test_watches.py
+++ b/src/pondtiller/gateway/tests/test_watches.py
@@ -99,8 +99,8 @@
 
 def test_a_hanging_watch_calls_again_when_the_store_recovers() -> None:
     async def regained(health: StoreHealth) -> None:
-        health.lost("other", StoreCallError("down"))
-        await health.heard("other", 7)
+        health.note_failure("other", StoreCallError("down"))
+        await health.note_answer("other", 7)
 
     store, recorder = play(["hang", "a"], regained)
     assert recorder.told == ["listed1", "a"]
@@ -204,7 +204,7 @@
             await curio.sleep(0.01)
         await curio.sleep(0.05)
         began = clock.monotonic()
-        await health.heard("config", 7)
+        await health.note_answer("config", 7)
         while "late" not in recorder.told:
             await curio.sleep(0.01)
         await task.cancel()
--- a/src/pondtiller/gateway/watches.py
+++ b/src/pondtiller/gateway/watches.py
@@ -15,7 +15,7 @@
 from pondtiller.platform.object_client import StoreChange, StoreObject
 from pondtiller.process import clock, logs
 from pondtiller.routes.engines import EngineDirectory, EngineEntry
-from pondtiller.store.news_times import NewsTimes
+from pondtiller.store.change_delays import ChangeDelays
 from pondtiller.store.store_watch import (
     MAX_RETRY_SECONDS,
     StoreHealth,
@@ -60,8 +60,8 @@
         changed: Callable[[], Awaitable[None]],
         is_leading: Callable[[], bool],
         follows_mirrors: Callable[[], bool],
-        configuration_times: NewsTimes,
-        engines_times: NewsTimes,
+        configuration_times: ChangeDelays,
+        engines_times: ChangeDelays,
     ) -> None:
         self.is_leading = is_leading
         self._follows_mirrors = follows_mirrors
--- a/src/pondtiller/peers/usage_teller.py
+++ b/src/pondtiller/peers/usage_teller.py
@@ -77,7 +77,7 @@
             return True
         self._meter.count(now, agreed_now)
         window = window_of(agreed_now - self._delay, self._meter.window_seconds)
-        return window > self._window or bool(self._meter.untold(epoch))
+        return window > self._window or bool(self._meter.unreported(epoch))
 
     async def tell(self, epoch: int) -> None:
         """Send all counts that a leader does not have."""
@@ -87,7 +87,7 @@
         if agreed_now is not None:
             self._meter.count(now, agreed_now)
             complete_until = agreed_now - (now - self._meter.complete_until(now))
-        rows = self._meter.untold(epoch)
+        rows = self._meter.unreported(epoch)
         message = UseTold(
             daemon=self._name,
             incarnation=self._incarnation,
@@ -105,7 +105,7 @@
             return
         self._next = now + SEND_INTERVAL_SECONDS
         self._epoch = epoch
-        self._meter.told(epoch, rows)
+        self._meter.note_reported(epoch, rows)
         if agreed_now is not None:
             told = window_of(complete_until - self._delay, self._meter.window_seconds)
             self._window = max(self._window, told)
--- a/src/pondtiller/platform/object_client.py
+++ b/src/pondtiller/platform/object_client.py
@@ -173,7 +173,7 @@
         age = age_of_answer(asked_at, wait_seconds, clock.monotonic())
         return StoreChanges(tuple(self._sound_changes(kind, events)), at, age)
 
-    async def leave_connections(self) -> None:
+    async def skip_idle_connections(self) -> None:
         """Use no connection again that is at rest: any of them may be silent."""
         await self._client.close_kept(self._address)
 
--- a/src/pondtiller/replica/__init__.py
+++ b/src/pondtiller/replica/__init__.py
@@ -1,5 +1,5 @@
-"""The replica program: keeps the step log on a small disk for the gateways.
+"""The replica program: stores the step log on a small disk for the gateways.
 
-Owns a machine's file of the log, its links, its object in the store and its mirror. What a replica
-promises and holds is decided in `steplog.replica`, without I/O.
+Holds a machine's log file, its links, its object in the store and its mirror. The replica's
+promises and contents are decided in `steplog.replica`, without I/O.
 """
--- a/src/pondtiller/replica/file.py
+++ b/src/pondtiller/replica/file.py
@@ -1,8 +1,8 @@
-"""The replica's file: appended and synced before an answer leaves, rewritten when it grows.
+"""The replica's file: appended and synced before an answer is sent, rewritten when it grows.
 
-Owns the file `steps.log` in the data folder; it survives restarts, and a torn tail is cut off at
-the start. Relies on `steplog.disk_format` for records and checksums, and on the kernel's
-`fdatasync`. Doesn't decide what is written or answered.
+Holds the file `steps.log` in the data folder, which survives restarts; a torn tail is truncated at
+the start. Uses `steplog.disk_format` for records and checksums, and `fdatasync`. Does not decide
+what is written or answered.
 """
 
 import os
@@ -17,12 +17,11 @@
 FILE_NAME = "steps.log"
 NEW_NAME = "steps.log.new"
 MIN_REWRITE_BYTES = 16 * 1024 * 1024
-"""A file is not rewritten before it has grown to this. Chosen, not measured: reading 16 MB to 26 MB
-at a start takes a replica about 220 ms, and each rewrite holds up its answers."""
+"""Smallest file that is rewritten: reading 16 MB to 26 MB at a start takes a replica about 220 ms,
+and each rewrite delays its answers."""
 REWRITE_FACTOR = 3
-"""A file is rewritten when it is this many times as large as after its last rewrite: two thirds of
-it are then out of date. Chosen, not measured: a lower factor writes more, a higher one reads longer
-at a start."""
+"""Growth since the last rewrite at which a file is rewritten: two thirds of it are outdated then. A
+lower factor writes more, a higher one reads longer at a start."""
 
 
 class LogFile:
@@ -31,7 +30,7 @@
     Parameters
     ----------
     folder
-        Data folder; made where it is missing.
+        Data folder; created if it is missing.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -43,7 +42,7 @@
         self._size_after_rewrite = 0
 
     def read(self) -> list[DiskRecord]:
-        """Open the file and return its records; a torn tail is cut off."""
+        """Open the file and return its records; a torn tail is truncated."""
         (self._folder / NEW_NAME).unlink(missing_ok=True)
         data = self._path.read_bytes() if self._path.exists() else b""
         records: list[DiskRecord] = []
@@ -64,7 +63,7 @@
     def append(self, records: list[DiskRecord]) -> None:
         """Write records; returns once they are on disk.
 
-        After an `OSError` nothing of them counts: the next call writes over what may be there.
+        After an `OSError` none of them counts: the next call overwrites any part of them.
         """
         size = self.size
         self.write(records)
@@ -75,20 +74,20 @@
             raise
 
     def write(self, records: list[DiskRecord]) -> None:
-        """Write records that need not last; the next `append` makes them last too."""
+        """Write records that need not be durable; the next `append` makes them durable too."""
         data = b"".join(encode(record) for record in records)
         _write_all(self._descriptor, data, self.size)
         self.size += len(data)
 
     def should_rewrite(self) -> bool:
-        """Return whether much of the file is out of date."""
+        """Return whether much of the file is outdated."""
         limit = max(MIN_REWRITE_BYTES, REWRITE_FACTOR * self._size_after_rewrite)
         return self.size > limit
 
     def rewrite(self, replica: Replica, texts: KeptTexts) -> None:
-        """Replace the file by what the replica and its unfinished texts are now.
+        """Replace the file by the current state of the replica and its unfinished texts.
 
-        After an `OSError` the old file goes on, and the next try comes when it has grown more.
+        After an `OSError` the old file stays in use, and the next attempt comes after more growth.
         """
         self._size_after_rewrite = self.size
         path = self._folder / NEW_NAME
--- a/src/pondtiller/replica/metrics_text.py
+++ b/src/pondtiller/replica/metrics_text.py
@@ -1,6 +1,6 @@
-"""A replica's figures as Prometheus text; loaded at the first scrape.
+"""A replica's metrics as Prometheus text; loaded at the first scrape.
 
-Loading late spares each replica the client library's memory until somebody asks.
+Loading it late saves the client library's memory on replicas that are never scraped.
 """
 
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 class ReplicaCollector:
-    """Turns a replica's figures into metrics."""
+    """Converts a replica's figures to metrics."""
 
     def __init__(self, figures: ReplicaFigures) -> None:
         self._figures = figures
--- a/src/pondtiller/replica/process.py
+++ b/src/pondtiller/replica/process.py
@@ -1,8 +1,8 @@
 """One replica process: its file, its socket, its object in the store.
 
-Owns the parts of a replica and the disk's identity, drawn when the file is new: a machine that
-comes back with an empty folder is another replica. Relies on the store once, to be found; a
-replica that gateways know serves without it.
+Holds the parts of a replica and the disk's identity, drawn when the file is created: a machine that
+returns with an empty folder is another replica. Needs the store only to be discovered; a replica
+that gateways know serves without it.
 """
 
 import uuid
@@ -33,8 +33,8 @@
 from pondtiller.wire.steplog import DiskRecord, GroupMember
 
 REGISTER_RETRY_SECONDS = 0.5
-"""Between two tries to write this replica's object. Chosen, not measured: only a start of a machine
-that gateways don't know yet waits for it."""
+"""Pause between two attempts to write this replica's object. Only the start of a machine that
+gateways do not know yet waits for it."""
 
 
 class ReplicaProcess:
@@ -58,7 +58,7 @@
         )
 
     def render_metrics(self) -> bytes:
-        """Return this replica's figures as Prometheus text."""
+        """Return this replica's metrics as Prometheus text."""
         from pondtiller.replica.metrics_text import ReplicaFigures, render
 
         server, replica = self.server, self.replica
@@ -128,15 +128,15 @@
         logs.decision("stopped", replica=self.settings.name)
 
     async def stop(self) -> None:
-        """End; nothing is in progress that is not on disk."""
+        """Stop; no unwritten work is in progress."""
         await self._stopped.set()
 
     def reload(self, settings: ReplicaSettings) -> None:
-        """Take changed settings; addresses and names stay until the next start."""
+        """Apply changed settings; addresses and names stay until the next start."""
         logs.decision("reloaded", replica=settings.name, changed=settings != self.settings)
 
     async def _register(self) -> None:
-        """Write this replica's object, so that gateways find it."""
+        """Write this replica's object, so that gateways discover it."""
         name, spec = self.settings.name, objects.replica_spec(self.replica.member)
         while True:
             try:
--- a/src/pondtiller/replica/server.py
+++ b/src/pondtiller/replica/server.py
@@ -1,8 +1,8 @@
-"""Serves a replica over links: what arrives together is synced to disk once.
+"""Serves a replica over links: messages that arrive together are synced to disk once.
 
-Owns the links of gateways that subscribed, and what waits for the disk, in memory. Relies on
-`steplog.replica` for each answer and on `LogFile` to make it last; answers nothing while the disk
-refuses. It elects nobody: it reports whom its replica follows.
+Holds the links of subscribed gateways, and the messages that wait for the disk, in memory. Uses
+`steplog.replica` for each answer and `LogFile` for durability; answers nothing while writes fail.
+Elects no leader: it reports whom its replica follows.
 """
 
 import uuid
@@ -39,9 +39,8 @@
 )
 
 VIEW_SECONDS = 1.0
-"""Between two reports of whom this replica follows, where nothing changes; a change is reported at
-once. A gateway ignores a report older than 1.2 s (`peers.replicas.STALE_VIEW_SECONDS`). Chosen, not
-measured."""
+"""Interval of the reports of whom this replica follows, if nothing changes; a change is reported at
+once. A gateway ignores a report older than 1.2 s (`peers.replicas.STALE_VIEW_SECONDS`)."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +53,7 @@
 
 
 class ReplicaServer:
-    """Takes messages, makes them durable, answers."""
+    """Receives messages, makes them durable, answers."""
 
     def __init__(
         self,
@@ -71,9 +70,9 @@
         self._arrivals: list[Arrival] = []
         self._arrived = curio.Event()
         self.subscribers: dict[Link, Subscribe] = {}
-        # Drawn, so that no other replica or start of this one has the same.
+        # Random, so that no other replica and no earlier run of this one has the same.
         self._subscribers_revision = uuid.uuid4().int >> 80
-        self._told: ViewState | None = None
+        self._sent_state: ViewState | None = None
         self._view = encode_message(ReplicaView())
         self._logged_view = ("", 0)
         self._group_size = 0
@@ -107,7 +106,7 @@
                 logs.decision("daemon_left", daemon=left.daemon)
 
     async def run(self) -> None:
-        """Commit what arrives until cancelled."""
+        """Commit arriving messages until cancelled."""
         next_view = clock.monotonic()
         while True:
             due = min(next_view, self._lease_end(next_view))
@@ -116,12 +115,12 @@
             await self._commit()
             if clock.monotonic() >= next_view:
                 next_view = clock.monotonic() + VIEW_SECONDS
-                await self._tell(only_changes=False)
+                await self._send_views(only_changes=False)
             else:
-                await self._tell(only_changes=True)
+                await self._send_views(only_changes=True)
 
     def _lease_end(self, otherwise: float) -> float:
-        """Return when the lease ends, so that subscribers hear of it at once."""
+        """Return when the lease ends, so that subscribers are informed at once."""
         until = self._replica.lease.until
         return until + 0.001 if until > clock.monotonic() else otherwise
 
@@ -159,11 +158,11 @@
             logs.decision("rewrite_refused", bytes=self._file.size, reason=str(error))
 
     def _sync(self, records: list[DiskRecord]) -> bool:
-        """Make records durable; False where the disk takes no more.
+        """Make records durable; return False if the write fails.
 
-        Nothing may be answered then, not even what needs no record: it might reveal what is
-        in memory only, and a leader would count it as the answer to an earlier write. The
-        records wait, and are written before any later answer leaves.
+        Nothing may be answered then, not even messages without a record: the answer might reveal
+        state that is only in memory, and a leader would count it as the answer to an earlier write.
+        The records wait, and are written before any later answer is sent.
         """
         self._unsynced += records
         try:
@@ -219,7 +218,7 @@
         return None
 
     def _daemons(self, known_revision: int) -> DaemonList:
-        """Return the subscribers; an empty list where they are those of a known revision."""
+        """Return the subscribers; an empty list if the caller knows their revision."""
         found = DaemonList(revision=self._subscribers_revision)
         if known_revision == self._subscribers_revision:
             return found
@@ -232,9 +231,9 @@
         return found
 
     def _save_progress(self, message: SaveProgress) -> None:
-        """Keep unfinished texts; a disk that takes no more keeps the earlier ones only.
+        """Store unfinished texts; if the write fails, the disk keeps the earlier ones only.
 
-        Of a leader that another one has followed, only what is longer is worth keeping.
+        From a leader with a successor, only texts longer than the stored ones are accepted.
         """
         samples = message.samples
         if message.epoch < self._replica.promised:
@@ -247,20 +246,20 @@
         except OSError as error:
             logs.decision("texts_refused", texts=len(samples), reason=str(error))
 
-    async def _tell(self, only_changes: bool) -> None:
+    async def _send_views(self, only_changes: bool) -> None:
         now = clock.monotonic()
         state = self._replica.view_state(now)
-        if only_changes and state == self._told:
+        if only_changes and state == self._sent_state:
             return
-        if state != self._told:
-            self._make_view(now, state)
+        if state != self._sent_state:
+            self._build_view(now, state)
         for link in list(self.subscribers):
             await link.send(self._view)
 
-    def _make_view(self, now: float, state: ViewState) -> None:
-        """Make and encode a view, once for all subscribers and until it changes."""
+    def _build_view(self, now: float, state: ViewState) -> None:
+        """Build and encode a view, once for all subscribers until it changes."""
         view = self._replica.view(now)
-        self._told, self._view = state, encode_message(view)
+        self._sent_state, self._view = state, encode_message(view)
         self._group_size = len(view.group.members)
         about = (view.leader, view.group.generation)
         if about != self._logged_view:
@@ -274,6 +273,6 @@
 
 
 async def _drop_links(arrivals: list[Arrival]) -> None:
-    """End the links whose messages stay unanswered: their senders must begin again."""
+    """Close the links of unanswered messages, whose senders must start again."""
     for link in {arrival.link for arrival in arrivals}:
         await link.drop()
--- a/src/pondtiller/replica/tests/test_disk_full.py
+++ b/src/pondtiller/replica/tests/test_disk_full.py
@@ -1,4 +1,4 @@
-"""A disk that takes no more: nothing is answered that is not on it, and it goes on later."""
+"""A full disk: nothing is answered that is not on it, and service resumes later."""
 
 import errno
 import os
@@ -23,7 +23,7 @@
 
 
 class FakeLink:
-    """Keeps what is sent on it."""
+    """Records what is sent on it."""
 
     def __init__(self) -> None:
         self.replies: list[Message] = []
@@ -38,7 +38,7 @@
 
 
 class FullDisk:
-    """Takes a part of each write, then refuses it, while `is_full`."""
+    """Accepts a part of each write and then fails, while `is_full`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.is_full = False
@@ -79,7 +79,7 @@
     return Append(epoch=9, puts=pack_entries(puts))
 
 
-def test_a_refused_write_is_not_answered_and_neither_is_anything_after_it(
+def test_a_failed_write_is_not_answered_nor_anything_after_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk, machine = FullDisk(monkeypatch), Machine(tmp_path)
@@ -95,7 +95,7 @@
     assert machine.server.refused_writes == 2
 
 
-def test_once_there_is_room_again_everything_that_waited_is_written_first(
+def test_waiting_records_are_written_first_once_there_is_room(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk, machine = FullDisk(monkeypatch), Machine(tmp_path)
@@ -110,7 +110,7 @@
     assert (set(held.entries), held.promised) == ({"a", "b", "c"}, 9)
 
 
-def test_a_rewrite_that_finds_no_room_leaves_the_old_file(
+def test_a_rewrite_without_room_leaves_the_old_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk, machine = FullDisk(monkeypatch), Machine(tmp_path)
--- a/src/pondtiller/replica/tests/test_file.py
+++ b/src/pondtiller/replica/tests/test_file.py
@@ -22,7 +22,7 @@
     return DiskRecord(puts=pack_entries([Entry(key=key, epoch=1, value=value)]))
 
 
-def test_what_was_appended_is_there_after_a_restart(tmp_path: Path) -> None:
+def test_appended_records_survive_a_restart(tmp_path: Path) -> None:
     file = LogFile(tmp_path)
     assert file.read() == []
     file.append([put("a"), put("b"), DiskRecord(promised=5)])
@@ -32,7 +32,7 @@
     assert (set(replica.entries), replica.promised) == ({"b"}, 5)
 
 
-def test_a_torn_tail_is_cut_and_the_next_append_is_read(tmp_path: Path) -> None:
+def test_a_torn_tail_is_truncated_and_the_next_append_is_read(tmp_path: Path) -> None:
     file = LogFile(tmp_path)
     file.read()
     file.append([put("a")])
@@ -47,7 +47,7 @@
     assert set(restored(tmp_path).entries) == {"a", "c"}
 
 
-def test_an_empty_or_foreign_file_is_begun_anew(tmp_path: Path) -> None:
+def test_an_empty_or_foreign_file_is_replaced(tmp_path: Path) -> None:
     (tmp_path / FILE_NAME).write_bytes(b"pondt")
     file = LogFile(tmp_path)
     assert file.read() == []
@@ -56,7 +56,7 @@
     assert set(restored(tmp_path).entries) == {"a"}
 
 
-def test_a_rewrite_keeps_what_is_held_and_its_half_is_harmless(tmp_path: Path) -> None:
+def test_a_rewrite_keeps_the_state_and_a_partial_one_is_harmless(tmp_path: Path) -> None:
     file = LogFile(tmp_path)
     file.read()
     replica = Replica(GroupMember(name="r", disk="d"), may_form=True, started_at=0.0)
@@ -85,7 +85,7 @@
     return texts
 
 
-def test_unfinished_texts_are_there_after_a_restart_and_a_rewrite(tmp_path: Path) -> None:
+def test_unfinished_texts_survive_a_restart_and_a_rewrite(tmp_path: Path) -> None:
     file = LogFile(tmp_path)
     file.read()
     first = SampleProgress(id="s", parts=[b"ab"], versions=[3], last_event=2)
@@ -104,7 +104,7 @@
     assert texts_in(tmp_path).by_sample == texts.by_sample
 
 
-def test_texts_that_no_write_of_the_log_followed_may_be_lost_alone(tmp_path: Path) -> None:
+def test_only_texts_without_a_later_log_write_may_be_lost(tmp_path: Path) -> None:
     file = LogFile(tmp_path)
     file.read()
     file.append([put("a")])
--- a/src/pondtiller/replica/tests/test_late_texts.py
+++ b/src/pondtiller/replica/tests/test_late_texts.py
@@ -1,4 +1,4 @@
-"""Texts of a leader that was cut off: kept where they are longer, whoever leads meanwhile."""
+"""Texts of a disconnected leader: stored if they are longer, whoever leads meanwhile."""
 
 from pathlib import Path
 from typing import Any
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("is_on", [True, False])
-def test_texts_handed_over_count_though_a_successor_is_promised(
+def test_late_texts_count_although_a_successor_is_promised(
     is_on: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not is_on:
@@ -40,7 +40,7 @@
     server._save_progress(SaveProgress(5, late))
     expected = {"a": 40, "b": 20, "c": 30} if is_on else {"a": 11, "b": 20}
     assert lengths(texts) == expected
-    # They outlive the process as the others do.
+    # They survive a restart as the others do.
     read = KeptTexts()
     for record in LogFile(tmp_path).read():
         read.save(record.texts)
--- a/src/pondtiller/settings.py
+++ b/src/pondtiller/settings.py
@@ -13,7 +13,7 @@
 
 from pondtiller.rollouts.scaling import PolicyName
 from pondtiller.steplog.fault_tolerance import Tolerance
-from pondtiller.store import evacuation_bounds, news_times
+from pondtiller.store import change_delays, evacuation_bounds
 
 
 def _check_address(text: str) -> str:
@@ -39,7 +39,7 @@
     return AfterValidator(check)
 
 
-NewsSeconds = Annotated[float, _refused_by(news_times.reason_against)]
+NewsSeconds = Annotated[float, _refused_by(change_delays.reason_against)]
 EvacuationSeconds = Annotated[float, _refused_by(evacuation_bounds.reason_against)]
 AddressText = Annotated[str, AfterValidator(_check_address)]
 OptionalAddress = Annotated[str, AfterValidator(_check_optional)]
--- a/src/pondtiller/store/evacuation_watch.py
+++ b/src/pondtiller/store/evacuation_watch.py
@@ -1,10 +1,11 @@
-"""Follows the evacuations of zones that the operator asks for.
+"""Follows the zone evacuations that the operator requests.
 
-An object stands for each evacuated zone, and its end takes the evacuation back. What was known
-stays in force while nothing is heard. Until the first listing nothing may reach any engine.
+An object represents each evacuated zone, and its deletion revokes the evacuation. The known state
+stays in force while the store is unreachable. Until the first listing no request may reach any
+engine.
 
-Owns the zones in force with the revisions of their objects, in memory: a start lists them again.
-Relies on `MirroredStore`. Holds no request back itself: `routes.send_gate` does.
+Holds the evacuated zones with the revisions of their objects, in memory; a restart lists them
+again. Uses `MirroredStore`. Does not hold back requests itself: `routes.send_gate` does.
 """
 
 from collections.abc import Awaitable, Callable, Collection
@@ -18,16 +19,16 @@
 
 
 class EvacuationWatch:
-    """Keeps the engines' directory up to date on which zones are evacuated.
+    """Keeps the evacuated zones in the engine directory up to date.
 
     Parameters
     ----------
     zones
-        Zones that the settings name.
+        Zones named in the settings.
     changed
-        Called when engines may be used again, or may no longer be.
+        Called when engines become usable, or stop being usable.
     longest_retry
-        As for the other watches.
+        Longest pause between two calls, as for the other watches.
 
     Attributes
     ----------
@@ -62,7 +63,7 @@
         )
 
     async def _replace(self, found: tuple[StoreObject, ...]) -> None:
-        """Take all evacuations: those that are not listed were taken back."""
+        """Apply a listing: evacuations that are not listed were revoked."""
         listed = {each.name for each in found}
         for zone in [each for each in self._in_force if each not in listed]:
             self._end(zone, self._in_force[zone])
@@ -91,13 +92,13 @@
         self._publish()
         if not is_new:
             return
-        reason = self._oddness(found)
+        reason = self._describe_anomaly(found)
         if reason:
             logs.decision("evacuation_odd", zone=zone, revision=revision, reason=reason)
         logs.decision("zone_evacuated", zone=zone, revision=revision, engines=self._count(zone))
 
     def _end(self, zone: str, revision: int) -> None:
-        """Take that an evacuation was taken back; one that began later stays in force."""
+        """Record a revocation; an evacuation that began later stays in force."""
         begun = self._in_force.get(zone)
         self._ended[zone] = max(revision, self._ended.get(zone, -1))
         if begun is None or revision < begun:
@@ -112,8 +113,8 @@
     def _count(self, zone: str) -> int:
         return sum(each.entry.zone == zone for each in self._engines.engines.values())
 
-    def _oddness(self, found: StoreObject) -> str:
-        """Return what is unusual about an evacuation; it is in force all the same."""
+    def _describe_anomaly(self, found: StoreObject) -> str:
+        """Return what is unusual about an evacuation, which is in force nevertheless."""
         if found.spec != {}:
             return "its content is not empty"
         if found.name not in self._zones and not self._count(found.name):
--- a/src/pondtiller/store/mirror.py
+++ b/src/pondtiller/store/mirror.py
@@ -1,13 +1,13 @@
-"""Follows the configuration, the engines and what else is asked for, for gateways.
+"""Follows the configuration, the engines and further kinds on behalf of gateways.
 
-Not each of them then asks the store.
+Not every gateway then has to call the store.
 
-A mirror answers only while it hears from the store: a gateway must learn of an engine that
-leaves as soon as if it asked the store itself, so a mirror that may be behind says so, and the
-gateway turns to another one or to the store.
+A mirror answers only while it is up to date: a gateway must learn of a leaving engine as soon as if
+it had asked the store itself, so a mirror that may be behind reports that, and the gateway tries
+another one or the store.
 
-Owns the objects of each kind with their latest changes, in a replica's memory. Relies on watches
-of the store. Interprets no object, and follows nothing while few gateways are linked.
+Holds the objects of each kind with their latest changes, in a replica's memory. Uses watches of the
+store. Interprets no object, and follows nothing while few gateways are connected.
 """
 
 from collections.abc import Callable, Mapping
@@ -39,28 +39,29 @@
 from pondtiller.wire.steplog import MirrorPage, ReadMirror
 
 MIN_FOLLOWERS = 6
-"""A gateway that follows both kinds itself makes 0.85 calls a second (47 in a day of 56 s, large
-site, `quiet-1`); a mirror makes 2 to 4, most of them to know that it still hears the store."""
+"""Followers from which a mirror saves calls. A gateway that follows both kinds itself makes 0.85
+calls a second (47 in 56 s); a mirror makes 2 to 4, most of them to stay up to date."""
 WAIT_SECONDS = 0.8
-"""How long a call waits for changes: so old is what a mirror knows, at most, while all is well."""
+"""How long a call waits for changes, and so the greatest age of a mirror while the store
+answers."""
 ENGINES_REST_SECONDS = 0.5
-"""Between two calls for changes of the engines, so that changes that come together are one priced
-call. Chosen, not measured: with `WAIT_SECONDS` it stays below `FRESH_SECONDS`."""
+"""Pause between two calls for changes of the engines, so that changes close together take one
+priced call. Together with `WAIT_SECONDS` it stays below `FRESH_SECONDS`."""
 FRESH_SECONDS = 1.5
-"""Age above which a mirror answers nothing: a call's wait and rest, with a margin. The platform's
+"""Age above which a mirror does not answer: a call's wait and rest, with a margin. The platform's
 shortest bound for a leaving engine is 2 s."""
 CHECK_SECONDS = 0.25
-"""Between two looks of a waiting answer at whether the mirror is still fresh: a gateway that waits
-learns it this much late at most, which `evacuation_bounds` counts. Chosen, not measured."""
-PASS_ON_RETRY_SECONDS = 1.0
-"""How long no call is passed on after one that failed, in seconds: where the store answers nobody,
-each call of each gateway would become one of each replica, too."""
-ALWAYS = (names.CONFIGURATIONS, names.ENGINES)
-"""Kinds that each mirror follows; it answers for none of them while one of them is stale."""
+"""Interval at which a waiting answer checks that the mirror is still fresh: a waiting gateway
+learns of a stale mirror this much later at most, which `evacuation_bounds` counts."""
+RELAY_RETRY_SECONDS = 1.0
+"""How long no call is relayed after one that failed: while the store answers nobody, each call of
+each gateway would also become one of each replica."""
+REQUIRED_KINDS = (names.CONFIGURATIONS, names.ENGINES)
+"""Kinds that every mirror follows; it answers for none of them while one of them is stale."""
 
 
 class FollowTimes(NamedTuple):
-    """How a further kind is followed.
+    """How an additional kind is followed.
 
     Attributes
     ----------
@@ -75,13 +76,13 @@
 
 
 MIRROR_TIMES = FollowTimes(wait_seconds=2.4, fresh_seconds=2.8)
-"""How a mirror follows evacuations. Each wait is a priced call: 0.8 s, as for the engines, would be
-70 calls of a mirror in a day of 56 s, 2.4 s are 23. A mirror is fresh for as long as its wait, a
-slow store's answer (0.2 s, 50 times the usual) and a margin as long again."""
+"""How a mirror follows evacuations. Each wait is a priced call: waits of 0.8 s, as for the engines,
+would make 70 calls of a mirror in 56 s, 2.4 s make 23. A mirror is fresh for its wait, a slow
+answer of the store (0.2 s, 50 times the usual) and a margin of the same length."""
 
 
 class MirroringReader:
-    """Reads the store, and keeps what it reads in mirrors."""
+    """Reads the store and records the results in mirrors."""
 
     def __init__(self, store: StoreReader, kinds: Mapping[str, MirroredKind]) -> None:
         self._store = store
@@ -101,14 +102,14 @@
 
 
 class StoreMirror:
-    """The mirrors of one replica, while enough gateways follow it.
+    """The mirrors of one replica, active while enough gateways follow it.
 
     Parameters
     ----------
     expected_followers
         Returns how many gateways are likely to follow this replica.
     further
-        Kinds to follow besides the configuration and the engines.
+        Kinds to follow besides the required ones.
     """
 
     def __init__(
@@ -120,7 +121,7 @@
         self.is_on = False
         self.answers = 0
         self._further = dict(further or {})
-        self.kinds = {kind: MirroredKind() for kind in (*ALWAYS, *self._further)}
+        self.kinds = {kind: MirroredKind() for kind in (*REQUIRED_KINDS, *self._further)}
         self._store = store
         self._expected_followers = expected_followers
         self._health = StoreHealth()
@@ -129,7 +130,7 @@
         self._followed[names.ENGINES].rest = lambda: ENGINES_REST_SECONDS
         self._waiting: set[Event] = set()
         self._watches = Spawner()
-        self._passes_on_from = 0.0
+        self._relays_from = 0.0
 
     def _watch(self, reader: MirroringReader, kind: str) -> Watch:
         async def replace(_found: tuple[StoreObject, ...]) -> None:
@@ -144,22 +145,21 @@
 
     @property
     def age_seconds(self) -> float:
-        """How long ago the store was heard, of the kind that it was heard least of.
-
-        Of those that each mirror follows.
-        """
-        return clock.monotonic() - min(self._followed[kind].last_answer_at for kind in ALWAYS)
+        """Time since the last answer of the store, for the most outdated of the required kinds."""
+        return clock.monotonic() - min(
+            self._followed[kind].last_answer_at for kind in REQUIRED_KINDS
+        )
 
     def is_fresh(self) -> bool:
-        """Return whether the mirror may answer: each kind was read lately.
+        """Return whether the mirror may answer: every required kind was read recently.
 
-        One kind does not answer for the other: a call may hang that the store has forgotten.
+        The kinds are checked separately, since a single call may hang that the store has forgotten.
         """
-        is_known = all(self.kinds[kind].at for kind in ALWAYS)
+        is_known = all(self.kinds[kind].at for kind in REQUIRED_KINDS)
         return self.is_on and is_known and self.age_seconds < FRESH_SECONDS
 
     def _may_answer(self, kind: str) -> bool:
-        """Return whether the mirror may answer for a kind; a further one counts for itself only."""
+        """Return whether the mirror may answer for a kind; an additional kind is checked alone."""
         times = self._further.get(kind)
         if times is None:
             return kind in self.kinds and self.is_fresh()
@@ -202,7 +202,7 @@
         """Return a listing, or the changes after a revision once there are any."""
         self.answers += 1
         if message.passes_on:
-            return await self._pass_on(message)
+            return await self._relay(message)
         until = clock.monotonic() + message.wait_milliseconds / 1000.0
         event: Event = curio.Event()
         self._waiting.add(event)
@@ -217,9 +217,9 @@
         finally:
             self._waiting.discard(event)
 
-    async def _pass_on(self, message: ReadMirror) -> MirrorPage:
-        """Ask the store for a gateway that it does not answer."""
-        if clock.monotonic() < self._passes_on_from:
+    async def _relay(self, message: ReadMirror) -> MirrorPage:
+        """Call the store on behalf of a gateway that the store does not answer."""
+        if clock.monotonic() < self._relays_from:
             return MirrorPage(status=MirrorStatus.UNAVAILABLE)
         wait = message.wait_milliseconds / 1000.0
         try:
@@ -229,7 +229,7 @@
         except HistoryGoneError:
             return MirrorPage(status=MirrorStatus.HISTORY_GONE)
         except StoreCallError as error:
-            self._passes_on_from = clock.monotonic() + PASS_ON_RETRY_SECONDS
+            self._relays_from = clock.monotonic() + RELAY_RETRY_SECONDS
             logs.decision("pass_on_failed", kind=message.kind, reason=str(error))
             return MirrorPage(status=MirrorStatus.UNAVAILABLE)
 
--- a/src/pondtiller/store/store_watch.py
+++ b/src/pondtiller/store/store_watch.py
@@ -1,8 +1,8 @@
-"""Watches on the platform's store: a kind listed once, then followed by its changes.
+"""Watches on the platform's store: a kind is listed once, then its changes are followed.
 
-A `Watch` owns the revision up to which it has passed on everything, and begins again with a listing
-after a start or where the history is gone. Relies on a `StoreReader`: the store's client, a mirror
-or the leader's way. It keeps no objects and reads none.
+A `Watch` holds the revision up to which it has passed on everything, and starts with a listing
+after a restart or when the history is gone. Uses a `StoreReader`: the store's client, a mirror or
+the leader's access. Stores no objects and interprets none.
 """
 
 import random
@@ -26,28 +26,27 @@
 from pondtiller.process.run_until import run_until
 
 WATCH_SECONDS = 6.0
-"""How long one call waits for changes. Each call has a price: with 3 s, the watches were most of
-623 calls of a quiet day. Longer waits leave a process longer on a store that is silently away; once
-it answers any watch of the process again, all others ask again."""
+"""How long one call waits for changes. Each call has a price: with 3 s, the watches made most of
+the 623 calls of a quiet day. With longer waits a process notices later that the store has gone
+without an error; once it answers any watch of the process again, all others ask again."""
 MIN_FIRST_WATCH_SECONDS = 1.0
 """First waits are drawn between this and the full wait, so that the watches of a process end at
 different times."""
 PROBE_SECONDS = 0.5
-"""How long the first call after a failure waits for changes: until it is answered, nothing is known
-of its kind."""
+"""How long the first call after a failure waits for changes: until it is answered, the state of its
+kind is unknown."""
 RETRY_SECONDS = 0.25
-"""The first pause after a failed call, doubled each time. Chosen, not measured:
-`evacuation_bounds` counts one such pause."""
+"""First pause after a failed call, doubled each time; `evacuation_bounds` counts one such pause."""
 MAX_RETRY_SECONDS = 1.0
-"""Every call has a price, refused ones too; a second is a fifth of the shortest time that the
-platform gives a machine to be connected again."""
+"""Maximum pause after a failed call. Every call has a price, even a rejected one; a second is a
+fifth of the shortest time that the platform gives a machine to reconnect."""
 
 Replace = Callable[[tuple[StoreObject, ...]], Awaitable[None]]
 Change = Callable[[StoreChange], Awaitable[None]]
 
 
 class StoreReader(Protocol):
-    """The store, or what stands for it."""
+    """The store, or a substitute for it."""
 
     async def list_all(self, kind: str) -> StoreListing:
         """Return all objects of a kind; raises `StoreCallError`."""
@@ -57,25 +56,25 @@
 
 
 class StoreHealth:
-    """Whether the store answers, as all watches of a process see it together.
+    """Whether the store answers, shared by all watches of a process.
 
-    A watch that waits cannot tell a quiet store from one that is gone. Once the store answers
-    again after a failure, all waiting watches ask again, so each is right within moments while
-    a quiet one may wait long.
+    A waiting watch cannot distinguish a quiet store from one that is gone. Once the store answers
+    again after a failure, all waiting watches ask again, so that each is up to date within moments
+    although a wait may be long.
     """
 
     def __init__(self) -> None:
         self._is_lost = False
         self._regained: set[Event] = set()
 
-    def lost(self, kind: str, error: StoreCallError) -> None:
-        """Take a failure."""
+    def note_failure(self, kind: str, error: StoreCallError) -> None:
+        """Record a failed call."""
         if not self._is_lost:
             self._is_lost = True
             logs.decision("store_lost", kind=kind, reason=str(error))
 
-    async def heard(self, kind: str, at: int) -> None:
-        """Take an answer."""
+    async def note_answer(self, kind: str, at: int) -> None:
+        """Record an answer."""
         if not self._is_lost:
             return
         self._is_lost = False
@@ -83,10 +82,10 @@
         await self._wake_all()
 
     async def history_gone(self) -> None:
-        """Take that the store, or a mirror, has forgotten a history that was asked for.
+        """Record that the store, or a mirror, has forgotten a requested history.
 
-        A call that reached the store in the moment of forgetting gets no answer: it hears nothing
-        for its whole wait, 6 s at the longest. So all waiting watches ask again.
+        A call that reached the store while it forgot gets no answer for its whole wait, up to 6 s.
+        So all waiting watches ask again.
         """
         await self._wake_all()
 
@@ -112,10 +111,10 @@
     health
         Shared by the watches of one process.
     replace, change
-        Take a whole listing, and one change.
+        Apply a whole listing, and one change.
     rest
-        Returns for how many seconds to gather further changes before asking for them. Each
-        change is otherwise a call of each gateway.
+        Returns for how many seconds to gather further changes before asking for them; each change
+        would otherwise be a call of each gateway.
     wait_seconds
         How long one call waits for changes.
     longest_retry
@@ -164,11 +163,11 @@
                 await self._pause(error)
 
     async def _pause(self, error: StoreCallError) -> None:
-        """Wait before the next call, longer each time; no longer once another watch is answered.
+        """Wait before the next call, longer each time, until another watch is answered.
 
-        A call without an answer has waited already.
+        A call without an answer has already waited.
         """
-        self._health.lost(self._kind, error)
+        self._health.note_failure(self._kind, error)
         if isinstance(error, StoreSilentError):
             return
         await curio.ignore_after(self._retry_seconds, self._health.wait_regained)
@@ -176,10 +175,10 @@
 
     async def _follow(self) -> None:
         listing = await self._list()
-        await self._heard(listing.at, listing.age_seconds)
+        await self._note_answer(listing.at, listing.age_seconds)
         await self._replace(listing.objects)
         at = self.at = listing.at
-        # The watches of a process end at different times, so one of them soon notices a loss.
+        # The watches of a process end at different times, so one of them soon notices a failure.
         shortest = min(MIN_FIRST_WATCH_SECONDS, self._wait_seconds)
         seconds = random.uniform(shortest, self._wait_seconds)
         while True:
@@ -192,7 +191,7 @@
             seconds = self._wait_seconds
             if found is None:
                 continue
-            await self._heard(found.at, found.age_seconds)
+            await self._note_answer(found.at, found.age_seconds)
             at = found.at
             for change in found.changes:
                 await self._change(change)
@@ -201,7 +200,7 @@
                 await curio.sleep(self.rest())
 
     async def _list(self) -> StoreListing:
-        """Return all objects; no longer than a call for changes may take."""
+        """Return all objects, within the time that a call for changes may take."""
         seconds = self._wait_seconds + WATCH_MARGIN_SECONDS
         try:
             listing: StoreListing = await curio.timeout_after(
@@ -212,12 +211,12 @@
         return listing
 
     async def _ask(self, at: int, seconds: float) -> StoreChanges | None:
-        """Return what changed; None where the store was lost and regained meanwhile."""
+        """Return the changes; None if the store failed and recovered meanwhile."""
         return await run_until(
             self._health.wait_regained, self._store.watch, self._kind, at, seconds
         )
 
-    async def _heard(self, at: int, age_seconds: float) -> None:
+    async def _note_answer(self, at: int, age_seconds: float) -> None:
         self.last_answer_at = max(self.last_answer_at, clock.monotonic() - age_seconds)
         self._retry_seconds = RETRY_SECONDS
-        await self._health.heard(self._kind, at)
+        await self._health.note_answer(self._kind, at)
--- a/src/pondtiller/store/tests/test_answer_age.py
+++ b/src/pondtiller/store/tests/test_answer_age.py
@@ -1,4 +1,4 @@
-"""What is known counts from when the store told it, however late a paused process reads it."""
+"""The age of known state counts from the store's answer, however late a paused process reads it."""
 
 from typing import Any
 
@@ -30,7 +30,7 @@
         return json_response(200, {"events": [], "requests": [], "at": 7})
 
 
-def test_an_answer_that_lay_unread_through_a_pause_is_as_old_as_the_pause(
+def test_an_answer_unread_during_a_pause_is_as_old_as_the_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(clock, "monotonic", lambda: 100.0)
@@ -53,7 +53,7 @@
         return StoreChanges((), at, PAUSE_SECONDS)
 
 
-def test_a_mirror_does_not_tell_as_fresh_what_it_read_late(
+def test_a_mirror_does_not_report_late_data_as_fresh(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(store_watch, "MIN_FIRST_WATCH_SECONDS", WAIT_SECONDS)
--- a/src/pondtiller/store/tests/test_mirror.py
+++ b/src/pondtiller/store/tests/test_mirror.py
@@ -1,4 +1,4 @@
-"""A mirror tells only what it hears of."""
+"""A mirror answers only for kinds that it follows successfully."""
 
 import curio
 import pytest
@@ -11,7 +11,7 @@
 
 
 class Store:
-    """A store that answers calls for one kind no more once it was listed."""
+    """A store that stops answering calls for one kind once it was listed."""
 
     def __init__(self, hanging: str) -> None:
         self.hanging = hanging
@@ -25,8 +25,8 @@
 
 
 @pytest.mark.parametrize("hanging", ["", names.CONFIGURATIONS, names.ENGINES])
-def test_a_kind_of_which_nothing_is_heard_makes_the_mirror_answer_nothing(hanging: str) -> None:
-    """A configuration was late by 5 s while the engines' calls were answered."""
+def test_one_stale_required_kind_stops_all_answers_of_the_mirror(hanging: str) -> None:
+    """A configuration was 5 s late while the engines' calls were answered."""
 
     async def main() -> None:
         mirror = StoreMirror(Store(hanging), lambda: 10.0)
@@ -43,8 +43,8 @@
 
 
 @pytest.mark.parametrize("hanging", [names.EVACUATIONS, names.ENGINES])
-def test_a_further_kind_answers_for_itself_only(hanging: str) -> None:
-    """Its calls wait longer, so it may be older than the engines, and must not hold them up."""
+def test_an_additional_kind_is_checked_alone(hanging: str) -> None:
+    """Its calls wait longer, so it may be older than the engines, and must not block them."""
     times = FollowTimes(wait_seconds=1.7, fresh_seconds=2.0)
 
     async def main() -> None:
@@ -74,7 +74,7 @@
     curio.run(main)
 
 
-def test_a_store_that_answers_nobody_is_asked_once_for_all_that_have_calls_passed_on() -> None:
+def test_a_failed_store_is_asked_once_for_all_relayed_calls() -> None:
     asked: list[str] = []
 
     class Refusing:
--- a/src/pondtiller/table/__init__.py
+++ b/src/pondtiller/table/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' table: rows, cells, edits and their checks; pure, no I/O."""
+"""The operators' table: rows, cells, edits and their validation. No I/O."""
--- a/src/pondtiller/table/csv_format.py
+++ b/src/pondtiller/table/csv_format.py
@@ -25,7 +25,7 @@
 
 
 def from_csv(text: str) -> Result[Sheet, list[str]]:
-    """Read a table from CSV; the error lists every problem with its line number."""
+    """Parse a table from CSV; the error lists every problem with its line number."""
     reader = csv.DictReader(io.StringIO(text))
     header = reader.fieldnames or []
     problems = [f"line 1: column {name!r} is missing" for name in KEY_COLUMNS if name not in header]
--- a/src/pondtiller/table/editor.py
+++ b/src/pondtiller/table/editor.py
@@ -1,7 +1,7 @@
-"""The dialogue by which an edit reaches the object service, without its I/O.
+"""The protocol by which an edit reaches the object service, without its I/O.
 
-Read the table, apply the edit, compare-and-swap; read again after a conflict. After an
-answer that was lost, the edit's identifier in the table tells whether it took effect.
+Read the table, apply the edit, compare-and-swap; read again after a conflict. After a lost answer,
+the edit's identifier in the table shows whether it took effect.
 """
 
 from dataclasses import dataclass
@@ -13,8 +13,8 @@
 from pondtiller.table.sheet import Edit, EditRefused, RefusalReason, Sheet, parse
 
 MAXIMUM_ROUNDS = 20
-"""Reads and writes of one edit; then it ends as not made, or as unknown where a write's answer was
-lost. Chosen, not measured: an edit loses a round only to another operator's edit."""
+"""Reads and writes of one edit, after which it ends as not made, or as unknown if a write's answer
+was lost. An edit loses a round only to another operator's edit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EditOutcome:
-    """End of an edit.
+    """Result of an edit.
 
     Attributes
     ----------
     revision
-        Revision of the table that contains the edit, where it was accepted.
+        Revision of the table that contains the edit, if it was accepted.
     refusal
-        Why it was refused, where it was.
+        Why it was refused, if it was.
     """
 
     status: EditStatus
@@ -63,7 +63,7 @@
 
 
 class TableEditor:
-    """One edit on its way; ask `command`, carry it out, report, until an outcome comes."""
+    """One edit in progress; execute `command` and report the result until an outcome comes."""
 
     def __init__(self, edit: Edit) -> None:
         self.edit = edit
@@ -72,7 +72,7 @@
         self._lost_at: int | None = None
 
     def note_read(self, revision: int, body: bytes) -> None:
-        """Take the table as read, perhaps an old one; revision 0 where there is none yet."""
+        """Process the table as read, perhaps outdated; revision 0 if there is none yet."""
         self._rounds += 1
         if self._rounds > MAXIMUM_ROUNDS:
             self._give_up()
@@ -90,24 +90,23 @@
             self.command = EditOutcome(EditStatus.ACCEPTED, revision)
             return
         if self._lost_at is not None and revision > self._lost_at:
-            # The table moved on without the edit, so the lost write can never take effect.
+            # A newer table without the edit, so the lost write can never take effect.
             self._lost_at = None
         self._propose(revision, sheet)
 
     def note_written(self, revision: int) -> None:
-        """The write took effect."""
+        """Record that the write took effect."""
         self.command = EditOutcome(EditStatus.ACCEPTED, revision)
 
     def note_conflict(self) -> None:
-        """The table was changed meanwhile; look again.
+        """Record that the table was changed meanwhile, and read it again.
 
-        This says nothing of an earlier write whose answer was lost: it may be what changed
-        the table.
+        This does not settle an earlier write whose answer was lost: it may have been the change.
         """
         self.command = ReadTable()
 
     def note_lost(self) -> None:
-        """No answer came; after a write this leaves open whether it took effect."""
+        """Record a missing answer; after a write, whether it took effect is unknown."""
         self._rounds += 1
         if isinstance(self.command, WriteTable):
             self._lost_at = max(self._lost_at or 0, self.command.expected_revision)
@@ -131,8 +130,8 @@
 
     def _refuse(self, refusal: EditRefused) -> None:
         if self._lost_at is not None:
-            # An old read: what it says of the cell does not tell whether the lost write
-            # took effect. Only the edit itself, or a later table without it, does.
+            # After an outdated read, the cell does not show whether the lost write took effect.
+            # Only the edit itself, or a later table without it, does.
             self.command = ReadTable()
             return
         self.command = EditOutcome(EditStatus.REFUSED, refusal=refusal)
--- a/src/pondtiller/table/edits.py
+++ b/src/pondtiller/table/edits.py
@@ -1,7 +1,7 @@
-"""Applies an edit to a sheet: rebased where other cells moved, refused where the same did.
+"""Applies an edit to a sheet: rebased if other cells changed, refused if the same cells did.
 
-Pure. An edit that the sheet already holds changes nothing, so it may be applied again after a lost
-answer. Reading and writing the sheet is `table.editor`'s.
+No I/O. An edit that the sheet already contains changes nothing, so it may be applied again after a
+lost answer. Reading and writing the sheet is up to `table.editor`.
 """
 
 from result import Err, Ok, Result
@@ -26,8 +26,8 @@
 def apply_edit(sheet: Sheet, edit: Edit) -> Result[Sheet, EditRefused]:
     """Return the sheet after `edit`, or why it is refused.
 
-    An edit that the sheet already contains changes nothing, so a caller that lost the
-    answer of the object service may apply it again.
+    An edit that the sheet already contains changes nothing, so a caller that lost the object
+    service's answer may apply it again.
     """
     if sheet.has_edit(edit.edit_id):
         return Ok(sheet)
@@ -83,7 +83,7 @@
 
 
 def difference(old: Sheet, new: Sheet) -> tuple[CellChange, ...]:
-    """Return the changes that lead from `old` to `new`, cell by cell."""
+    """Return the changes from `old` to `new`, cell by cell."""
     changes: list[CellChange] = []
     old_rows = {row.key: row for row in old.rows}
     new_rows = {row.key: row for row in new.rows}
--- a/src/pondtiller/table/sheet.py
+++ b/src/pondtiller/table/sheet.py
@@ -1,7 +1,7 @@
-"""The table as a value: rows of cells, checked on entry.
+"""The table as a value: rows of cells, validated on input.
 
-Owns the forms of rows, of edits and of the stored JSON. A sheet is never changed: an edit gives a
-new one. What cells mean for requests is in `routes.sheet_rows` and in `serve.systems`.
+Defines rows, edits and the stored JSON. A sheet is immutable: an edit returns a new one. The
+meaning of cells for requests is in `routes.sheet_rows` and in `serve.systems`.
 """
 
 from collections.abc import Iterator
@@ -15,8 +15,8 @@
 
 DOCUMENT_NAME = "table"
 KEPT_EDITS = 200
-"""Identifiers of the last edits that the sheet holds, so that an editor whose answer was lost finds
-whether its edit took effect. Chosen, not measured: at 710 edits a day some seven hours."""
+"""Number of latest edits whose identifiers the sheet stores, so that an editor with a lost answer
+can find out whether its edit took effect: some seven hours at 710 edits a day."""
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 
@@ -40,39 +40,39 @@
     model
         Model that serves the row; services and trainers only.
     weight
-        Share of engine time relative to other rows that wait.
+        Share of engine time relative to other waiting rows.
     limit
         Requests that may be in progress at a time everywhere together; None for no limit.
     priority
         Priority passed to engines, 0 (least) to 9.
-    worth
+        Value of one answered request, for the weighted cost.
         Worth of one answered request, for the weighted cost.
-    staleness_bound
+        Trainers: versions by which weights may be older than the step's version.
         Trainers: versions by which weights may be older than the step's version.
     retry_ratio
-        Retries allowed as a share of first tries.
+        Allowed retries per first attempt.
     deadline_seconds
         Longest time to an answer; None for the default of the row's kind.
     host, path
-        Callers: requests of this host whose path begins so are this row's.
+        Callers: requests to this host whose path has this prefix belong to this row.
     request
-        Callers: what may be done with a request that failed.
+        Callers: how a failed request may be treated.
     split
-        Callers: services with weights, as `service:weight` with blanks between.
+        Callers: services with weights, as `service:weight`, separated by blanks.
     objective_seconds
-        Callers: time within which an answer counts in full.
+        Callers: time within which an answer has its full value.
     attempts
-        Callers: most engines that one request may be sent to.
+        Callers: largest number of engines to which one request may be sent.
     resumes, sticky, single_version
-        Callers: whether streams may be continued, keep to an engine, or to one version.
+        Callers: whether streams may be resumed, stay on an engine, or on one version.
     step_seconds, queue_seconds
-        Callers of steps: when results are due, and when a sample may be given up.
+        Callers of steps: when results are due, and after how long a sample may be abandoned.
     public
-        Callers: whether no key is needed.
+        Callers: whether no key is required.
     keys
-        Tenants: SHA-256 digests of their keys, with blanks between; never a key itself.
+        Tenants: SHA-256 digests of their keys, separated by blanks; never a key itself.
     rate
-        Tenants: most requests a second everywhere together; None for no limit.
+        Tenants: total number of requests per second; None for no limit.
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid")
@@ -186,7 +186,7 @@
     Attributes
     ----------
     rows
-        All rows, in order of kind and name.
+        All rows, sorted by kind and name.
     edits
         Accepted edits, oldest first, at most `KEPT_EDITS`.
     """
@@ -205,7 +205,7 @@
         return self
 
     def row(self, kind: RowKind, name: str) -> Row | None:
-        """Return one row, or None where there is none."""
+        """Return one row, or None if there is none."""
         for row in self.rows:
             if row.kind is kind and row.name == name:
                 return row
@@ -216,7 +216,7 @@
         return (row for row in self.rows if row.kind is kind)
 
     def has_edit(self, edit_id: str) -> bool:
-        """Return whether an edit is known to have been accepted."""
+        """Return whether an edit is among the accepted ones."""
         return any(edit.edit_id == edit_id for edit in self.edits)
 
 
@@ -228,7 +228,7 @@
 
 
 class EditRefused(BaseModel):
-    """An edit that was refused as a whole, with a sentence for each cause."""
+    """An edit that was refused as a whole, with one sentence per cause."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -247,7 +247,7 @@
 
 
 def shown_text(row: Row, column: str) -> str:
-    """Return a cell for people to look at: digests by their first digits, `-` where empty."""
+    """Return a cell for display: digests by their first digits, `-` if empty."""
     text = cell_text(row, column)
     if column == "keys":
         text = " ".join(digest[:DIGEST_SHOWN] for digest in text.split())
@@ -255,7 +255,7 @@
 
 
 def parse(body: bytes) -> Result[Sheet, str]:
-    """Read a sheet from the document's JSON; the error says what is wrong."""
+    """Parse a sheet from the document's JSON; the error says what is wrong."""
     try:
         return Ok(Sheet.model_validate_json(body))
     except ValidationError as error:
--- a/src/pondtiller/table/tests/test_edits.py
+++ b/src/pondtiller/table/tests/test_edits.py
@@ -48,7 +48,7 @@
     assert "it is now '3.0'" in refused.details[0]
 
 
-def test_an_edit_counts_once_however_often_it_is_applied():
+def test_an_edit_takes_effect_once_however_often_it_is_applied():
     once = apply_edit(SHEET, edit(change("weight", "2.0", "3.0"))).unwrap()
     later = apply_edit(once, edit(change("weight", "3.0", "5.0"), edit_id="e2")).unwrap()
     assert apply_edit(later, edit(change("weight", "2.0", "3.0"))).unwrap() == later
@@ -112,10 +112,7 @@
 
 
 def test_old_read_does_not_settle_a_lost_write():
-    """An edit that is in the table is not reported as refused.
-
-    Seen in `simulate chaos`, deployment kyushu, seed 323.
-    """
+    """An edit that is in the table is not reported as refused; found by `simulate chaos`."""
     editor = editor_after_lost_write()
     old = apply_edit(SHEET, edit(change("weight", "2.0", "9.0"), edit_id="x")).unwrap()
     editor.note_read(4, old.model_dump_json().encode())
--- a/src/pondtiller/usage/__init__.py
+++ b/src/pondtiller/usage/__init__.py
@@ -1,4 +1,4 @@
-"""How many requests of each tenant engines began, by window of time: counted, gathered, reported.
+"""Started requests of each tenant by time window: counted, summed up and reported.
 
-Daemons count, the leader adds up and reports each window once. No I/O.
+Daemons count, and the leader sums up and reports each window once. No I/O.
 """
--- a/src/pondtiller/usage/ledger.py
+++ b/src/pondtiller/usage/ledger.py
@@ -1,7 +1,7 @@
-"""What a leader knows of all gateways' counts. No I/O.
+"""A leader's record of all gateways' counts. No I/O.
 
-Owns the counts of one term; what lasts is in the log (`reports.py`). Relies on counts that only
-grow, so that one received twice does no harm.
+Holds the counts of one term; the durable part is in the log (`reports.py`). Relies on counts that
+only grow, so that a count received twice does no harm.
 """
 
 from collections.abc import Iterable
@@ -9,12 +9,12 @@
 
 from pondtiller.usage.meter import UseRow
 
-GONE_SECONDS = 15.0
-"""After this time without a report a gateway is not waited for: each reports once a window."""
+DAEMON_GONE_SECONDS = 15.0
+"""Time without a report after which a gateway is not waited for: each reports once per window."""
 
 
 class LedgerRow(NamedTuple):
-    """A count as one start of a gateway reported it."""
+    """A count as reported by one incarnation of a gateway."""
 
     daemon: str
     incarnation: int
@@ -23,15 +23,15 @@
     requests: int
 
 
-class HeardDaemon(NamedTuple):
-    """What a daemon said of itself last.
+class ReportedDaemon(NamedTuple):
+    """A daemon's latest report.
 
     Attributes
     ----------
     complete_until
-        Agreed time of day up to which its counts are final.
+        Agreed wall-clock time up to which its counts are final.
     at
-        When it said so, on the leader's steady clock.
+        When it was received, on the leader's monotonic clock.
     """
 
     complete_until: float
@@ -39,7 +39,7 @@
 
 
 class LedgerKey(NamedTuple):
-    """Whose count it is: a start of a daemon, and a tenant."""
+    """Whose count it is: an incarnation of a daemon, and a tenant."""
 
     daemon: str
     incarnation: int
@@ -47,14 +47,14 @@
 
 
 class UseLedger:
-    """The highest count of each row that was reported; they are added up at the end of a window."""
+    """The highest reported count of each row; they are summed up at the end of a window."""
 
     def __init__(self) -> None:
-        self.daemons: dict[str, HeardDaemon] = {}
+        self.daemons: dict[str, ReportedDaemon] = {}
         self._windows: dict[int, dict[LedgerKey, int]] = {}
 
     def take(self, rows: Iterable[LedgerRow]) -> list[LedgerRow]:
-        """Take counts; return those that are news. A lower count than a known one is late."""
+        """Record counts; return the new ones. A lower count than a known one is late."""
         news: list[LedgerRow] = []
         for row in rows:
             window = self._windows.setdefault(row.window, {})
@@ -64,7 +64,7 @@
                 news.append(row)
         return news
 
-    def told(
+    def report(
         self,
         daemon: str,
         incarnation: int,
@@ -72,27 +72,27 @@
         rows: Iterable[UseRow],
         now: float,
     ) -> list[LedgerRow]:
-        """Take what a daemon tells; return what is news."""
-        self.daemons[daemon] = HeardDaemon(complete_until, now)
+        """Record a daemon's report; return the new counts."""
+        self.daemons[daemon] = ReportedDaemon(complete_until, now)
         return self.take(LedgerRow(daemon, incarnation, *row) for row in rows)
 
     def is_complete(self, until: float, now: float) -> bool:
-        """Return whether all gateways that still live have reported what they began until then."""
+        """Return whether all live gateways have reported everything that started until then."""
         return all(
             each.complete_until >= until
             for each in self.daemons.values()
-            if now < each.at + GONE_SECONDS
+            if now < each.at + DAEMON_GONE_SECONDS
         )
 
     def totals(self, window: int) -> dict[str, int]:
-        """Return how many requests of each tenant began in a window."""
+        """Return how many requests of each tenant started in a window."""
         found: dict[str, int] = {}
         for key, count in sorted(self._windows.get(window, {}).items()):
             found[key.tenant] = found.get(key.tenant, 0) + count
         return found
 
     def windows(self) -> list[int]:
-        """Return the windows of which something is known, oldest first."""
+        """Return the windows with counts, oldest first."""
         return sorted(self._windows)
 
     def forget(self, until_window: int) -> None:
--- a/src/pondtiller/usage/meter.py
+++ b/src/pondtiller/usage/meter.py
@@ -1,12 +1,12 @@
-"""What one gateway counts: requests that engines began, by window and tenant. No I/O.
+"""One gateway's count of requests that engines started, by window and tenant. No I/O.
 
-A request counts once, in the window in which its first engine began it. Counts only grow, and a
-leader receives the counts themselves and not their changes, so a message that is lost, repeated or
-late does no harm.
+A request counts once, in the window in which its first engine started it. Counts only grow, and a
+leader receives the counts themselves and not their changes, so a lost, repeated or late message
+does no harm.
 
-Owns the counts of this gateway, in memory alone: what was not sent to the leader when it ends is
-not reported.
-Does not add up over gateways (`ledger.py`), nor decide which window is due (`reports.py`).
+Holds the counts of this gateway in memory only: counts that were not sent to the leader are lost
+when it ends. Does not sum up over gateways (`ledger.py`), and does not decide which window is due
+(`reports.py`).
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 class UseRow(NamedTuple):
-    """How many requests of a tenant began in a window, by its number."""
+    """How many requests of a tenant started in a window, by its number."""
 
     window: int
     tenant: str
@@ -28,37 +28,37 @@
 
 
 class UseKey(NamedTuple):
-    """What is counted together: a tenant's requests that began in a window."""
+    """Key of a count: a window and a tenant."""
 
     window: int
     tenant: str
 
 
 def pack_rows(rows: Iterable[UseRow]) -> bytes:
-    """Return rows as they are sent to the leader."""
+    """Encode rows for sending to the leader."""
     return json.dumps(list(rows)).encode()
 
 
 def unpack_rows(encoded: bytes) -> list[UseRow]:
-    """Return rows that were received; raises `ValueError`, `TypeError` where they are not sound."""
+    """Decode received rows; raises `ValueError` or `TypeError` if they are malformed."""
     return [UseRow(*row) for row in json.loads(encoded)] if encoded else []
 
 
 def window_of(agreed: float, window_seconds: float) -> int:
-    """Return the window of a time of day: window k begins k lengths after the start of 1970."""
+    """Return the window of a wall-clock time: window k starts k lengths after the start of 1970."""
     return math.floor(agreed / window_seconds)
 
 
 @dataclass(eq=False)
 class Beginning:
-    """Whether and when engines began one request.
+    """Whether and when engines started one request.
 
     Attributes
     ----------
     opened_at, began_at
-        Seconds of the steady clock; `began_at` is None while no engine has begun it.
+        Seconds of the monotonic clock; `began_at` is None while no engine has started it.
     is_final
-        Whether `began_at` stays as it is.
+        Whether `began_at` can no longer change.
     """
 
     tenant: str = ""
@@ -67,20 +67,20 @@
     is_final: bool = False
     _sent: int = 0
 
-    def sent(self, now: float) -> None:
-        """Take that the request left for an engine, which begins it unless it says otherwise."""
+    def note_sent(self, now: float) -> None:
+        """Record a send to an engine, which starts the request unless it reports otherwise."""
         self._sent += 1
         if self.began_at is None:
             self.began_at = now
 
-    def refused(self) -> None:
-        """Take that an engine says that it did not begin it."""
+    def note_not_started(self) -> None:
+        """Record that an engine reported not to have started the request."""
         self._sent -= 1
         if not self._sent:
             self.began_at = None
 
-    def first_token(self, now: float) -> None:
-        """Take that a stream has begun."""
+    def note_first_token(self, now: float) -> None:
+        """Record the first token of a stream."""
         if not self.is_final:
             self.began_at, self.is_final = now, True
 
@@ -91,7 +91,7 @@
     Parameters
     ----------
     window_seconds
-        Length of a window; 0 where nothing is reported, and so nothing counted.
+        Length of a window; 0 if nothing is reported, and so nothing is counted.
     """
 
     def __init__(self, window_seconds: float) -> None:
@@ -99,18 +99,18 @@
         self.counts: dict[UseKey, int] = {}
         self._open: set[Beginning] = set()
         self._untimed: list[Beginning] = []
-        self._told: dict[UseKey, int] = {}
-        self._told_epoch = 0
+        self._reported: dict[UseKey, int] = {}
+        self._reported_epoch = 0
 
     def open(self, tenant: str, now: float) -> Beginning:
-        """Begin to follow a request."""
+        """Track a new request."""
         beginning = Beginning(tenant, now)
         if tenant and self.window_seconds:
             self._open.add(beginning)
         return beginning
 
     def close(self, beginning: Beginning) -> None:
-        """Count a request that has ended, where an engine began it."""
+        """Count an ended request if an engine started it."""
         beginning.is_final = True
         if beginning in self._open:
             self._open.discard(beginning)
@@ -118,11 +118,11 @@
                 self._untimed.append(beginning)
 
     def complete_until(self, now: float) -> float:
-        """Return the steady time up to which all beginnings are counted."""
+        """Return the monotonic time up to which all started requests are counted."""
         return min((each.opened_at for each in self._open if not each.is_final), default=now)
 
     def count(self, now: float, agreed_now: float) -> None:
-        """Put what has begun into windows, now that the agreed time of day is known."""
+        """Assign started requests to windows, once the agreed wall-clock time is known."""
         for each in [each for each in self._open if each.is_final]:
             self.close(each)
         untimed, self._untimed = self._untimed, []
@@ -133,22 +133,22 @@
         oldest = window_of(agreed_now - KEPT_SECONDS, self.window_seconds)
         for key in [key for key in self.counts if key.window < oldest]:
             del self.counts[key]
-            self._told.pop(key, None)
+            self._reported.pop(key, None)
 
-    def untold(self, epoch: int) -> list[UseRow]:
+    def unreported(self, epoch: int) -> list[UseRow]:
         """Return the counts that the leader of an epoch does not know yet."""
-        if epoch != self._told_epoch:
-            self._told_epoch = epoch
-            self._told.clear()
+        if epoch != self._reported_epoch:
+            self._reported_epoch = epoch
+            self._reported.clear()
         return [
             UseRow(key.window, key.tenant, count)
             for key, count in self.counts.items()
-            if self._told.get(key) != count
+            if self._reported.get(key) != count
         ]
 
-    def told(self, epoch: int, rows: list[UseRow]) -> None:
-        """Take that the leader of an epoch knows some counts."""
-        if epoch != self._told_epoch:
+    def note_reported(self, epoch: int, rows: list[UseRow]) -> None:
+        """Record that the leader of an epoch knows some counts."""
+        if epoch != self._reported_epoch:
             return
         for row in rows:
-            self._told[UseKey(row.window, row.tenant)] = row.requests
+            self._reported[UseKey(row.window, row.tenant)] = row.requests
--- a/src/pondtiller/usage/reports.py
+++ b/src/pondtiller/usage/reports.py
@@ -1,10 +1,10 @@
-"""Which windows are due, closed, sent and done: one report a window, always the same. No I/O.
+"""Which windows are due, closed, sent and done: one report per window, always the same. No I/O.
 
-What is reported for a window is written to the log before it is sent for the first time. Every
-later send, by this leader or a successor, repeats what the log holds.
+A window's report is written to the log before it is sent for the first time. Every later send, by
+this leader or a successor, repeats the logged report.
 
-Owns the windows that are open in one term; what lasts is in the log, under `use/`. Relies on the
-ledger for the counts and on its caller to write and send. Does not count (`meter.py`).
+Holds the open windows of one term; the durable part is in the log, under `use/`. Uses the ledger
+for the counts, and relies on its caller to write and send. Does not count (`meter.py`).
 """
 
 import json
@@ -21,20 +21,19 @@
 REPORT_PREFIX = f"{USE_PREFIX}report/"
 DONE_PREFIX = f"{USE_PREFIX}done/"
 SETTLE_SECONDS = 0.3
-"""From the end of a window until it is closed at the earliest: clocks agree within less."""
-TELL_SECONDS = 1.5
-"""How long a new leader waits for the daemons, which tell it everything within two of their
-rounds of `usage_teller.SEND_INTERVAL_SECONDS` and the time to find it."""
+"""Shortest time from the end of a window until it is closed: clocks differ by less."""
+REPORT_WAIT_SECONDS = 1.5
+"""How long a new leader waits for the daemons, which report everything within two rounds of
+`usage_teller.SEND_INTERVAL_SECONDS` and the time to find it."""
 SEND_MARGIN_SECONDS = 4.0
-"""A window is closed this long before its report is due, whoever is missing: enough for the pause
-of `lease` after another holder, or for a few repeats."""
+"""How long before the report's due time a window is closed even if gateways are missing: enough for
+a pause as long as `lease` after another holder, or for a few repeats."""
 RETRY_SECONDS = 0.4
-"""Until a report that was not taken is sent again the first time, in seconds; each further wait is
-twice as long, less up to a half by chance. Chosen, not measured: `SEND_MARGIN_SECONDS` holds three
-or more sends."""
+"""Time after which a report that was not accepted is sent again the first time, doubled each time,
+less up to a half at random: `SEND_MARGIN_SECONDS` fits three or more sends."""
 MAX_RETRY_SECONDS = 2.0
-"""Longest of these waits, in seconds. Chosen, not measured: half of `SEND_MARGIN_SECONDS`; a report
-counts once, however often it is sent."""
+"""Maximum of these waits: half of `SEND_MARGIN_SECONDS`. A report counts once, however often it is
+sent."""
 
 
 @dataclass
@@ -44,9 +43,9 @@
     Attributes
     ----------
     content
-        What is sent, byte for byte.
+        Bytes to send.
     is_written
-        Whether the log holds it; it must not be sent before.
+        Whether the log contains it; it must not be sent before.
     retry_at
         No send before this time.
     """
@@ -69,12 +68,12 @@
 
 
 def done_key(window: int) -> str:
-    """Return the key that says that a window needs no more sends."""
+    """Return the key that marks a window as needing no more sends."""
     return f"{DONE_PREFIX}{window:014d}"
 
 
 def pack_tally(rows: Iterable[LedgerRow]) -> bytes:
-    """Return counts as one value of the log."""
+    """Encode counts as one value of the log."""
     return json.dumps(list(rows)).encode()
 
 
@@ -86,7 +85,7 @@
     window_seconds
         Length of a window.
     late_seconds
-        A report counts until so long after its window.
+        How long after its window a report still counts.
     """
 
     def __init__(self, window_seconds: float, late_seconds: float, began: float) -> None:
@@ -102,7 +101,7 @@
     # The log
 
     def restore(self, entries: Iterable[Entry], ledger: UseLedger) -> None:
-        """Take what the log holds of earlier terms."""
+        """Restore the log's entries of earlier terms."""
         for entry in entries:
             if entry.key.startswith(TALLY_PREFIX):
                 rows = [LedgerRow(*row) for row in json.loads(entry.value)]
@@ -118,8 +117,8 @@
         self.next_window = last + 1 if last >= 0 else None
         self.open = {each: report for each, report in self.open.items() if each > self._last_done}
 
-    def written(self, key: str) -> None:
-        """Take that the log holds a report."""
+    def note_written(self, key: str) -> None:
+        """Record that the log contains a report."""
         if key.startswith(REPORT_PREFIX):
             report = self.open.get(int(key.removeprefix(REPORT_PREFIX)))
             if report is not None:
@@ -128,18 +127,18 @@
     # Windows
 
     def end_of(self, window: int) -> float:
-        """Return the agreed time of day at which a window ends."""
+        """Return the agreed wall-clock time at which a window ends."""
         return (window + 1) * self.window_seconds
 
     def begin(self, agreed_now: float, ledger: UseLedger, now: float) -> None:
-        """Take where reports begin, where the log does not tell it: with this term, or before."""
+        """Determine the first window, unless the log did: that of this term's start or earlier."""
         if self.next_window is None:
             began = agreed_now - (now - self._began)
             first = window_of(began, self.window_seconds)
             self.next_window = min([first, *ledger.windows()])
 
     def skip_late(self, agreed_now: float) -> int:
-        """Pass over windows whose reports would come too late; return how many."""
+        """Skip windows whose reports would be too late; return how many."""
         if self.next_window is None:
             return 0
         counting = math.ceil((agreed_now - self.late_seconds) / self.window_seconds) - 1
@@ -148,7 +147,7 @@
         return skipped
 
     def due(self, agreed_now: float, ledger: UseLedger, now: float) -> int | None:
-        """Return the next window that is to be closed now; None where none is."""
+        """Return the next window to close now, or None."""
         if self.next_window is None:
             return None
         window, end = self.next_window, self.end_of(self.next_window)
@@ -156,12 +155,12 @@
             return None
         if agreed_now > end + self.late_seconds - SEND_MARGIN_SECONDS:
             return window
-        if now < self._began + TELL_SECONDS or not ledger.is_complete(end, now):
+        if now < self._began + REPORT_WAIT_SECONDS or not ledger.is_complete(end, now):
             return None
         return window
 
     def close(self, window: int, content: bytes) -> Report:
-        """Fix what is reported for a window; it is on its way to the log."""
+        """Fix the report of a window, which is then written to the log."""
         report = self.open[window] = Report(window, content)
         self.next_window = window + 1
         return report
@@ -169,36 +168,36 @@
     # Sends
 
     def next_send(self, now: float) -> Report | None:
-        """Return the oldest report, where it may be sent now; reports go in order."""
+        """Return the oldest report if it may be sent now; reports go in order."""
         if not self.open:
             return None
         report = self.open[min(self.open)]
         return report if report.is_written and now >= report.retry_at else None
 
-    def failed(self, report: Report, now: float, jitter: float) -> None:
-        """Take that a send was refused or not answered.
+    def note_failure(self, report: Report, now: float, jitter: float) -> None:
+        """Record that a send was rejected or not answered.
 
         Parameters
         ----------
         jitter
-            Drawn from 0 to 1.
+            Random number from 0 to 1.
         """
         wait = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2**report.tries)
         report.tries += 1
         report.retry_at = now + wait * (0.5 + jitter / 2)
 
-    def counts_no_more(self, report: Report, agreed_now: float) -> bool:
-        """Return whether a report comes too late to count."""
+    def is_too_late(self, report: Report, agreed_now: float) -> bool:
+        """Return whether a report is too late to count."""
         return agreed_now > self.end_of(report.window) + self.late_seconds
 
     def finish(self, report: Report) -> str:
-        """End a window: it needs no more sends. Return the key that says so in the log."""
+        """End a window, which needs no more sends; return the key that marks it in the log."""
         del self.open[report.window]
         self._last_done = max(self._last_done, report.window)
         return done_key(report.window)
 
     def obsolete(self, key: str) -> list[str]:
-        """Return the keys of the log that the written end of a window makes needless."""
+        """Return the keys of the log that the written end of a window makes obsolete."""
         window = int(key.removeprefix(DONE_PREFIX))
         first_open = min(self.open, default=self._last_done + 1)
         tallies = [each for each, last in self.tallies.items() if last < first_open]
