--- a/src/pondtiller/wire/steplog/__init__.py
+++ b/src/pondtiller/wire/steplog/__init__.py
@@ -646,7 +646,7 @@
     """The leader that is asked: no other one takes it."""
 
     subjects: List[str] = betterproto.string_field(5)
-    """Columns, see `coordination.rate_shares.RateWish`."""
+    """Columns, see `coordination.rate_shares.RateDemand`."""
 
     wanted: List[int] = betterproto.uint32_field(6)
     holding: List[int] = betterproto.uint32_field(7)
