--- a/src/pondtiller/address.py
+++ b/src/pondtiller/address.py
@@ -1,6 +1,6 @@
-"""Where a process listens: an IP address and a port.
+"""The address on which a process listens: an IP address and a port.
 
-Text is not checked here: the settings have done so.
+Text is not validated here; the settings do that.
 """
 
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where a process listens."""
+    """The address on which a process listens."""
 
     host: str
     port: int
 
 
 def to_address(text: str) -> Address:
-    """Return `IP:PORT`, checked before, as a value."""
+    """Parse `IP:PORT`, which must be valid."""
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
--- a/src/pondtiller/conftest.py
+++ b/src/pondtiller/conftest.py
@@ -1,6 +1,6 @@
-"""Drawn tests: the same examples each run, and no limit of elapsed time.
+"""Property-based tests: the same examples each run, and no time limit.
 
-An example took 738 ms beside other work and 0.6 ms alone; how long one takes says nothing here.
+An example took 738 ms beside other work and 0.6 ms alone, so its duration says nothing here.
 """
 
 from hypothesis import settings
--- a/src/pondtiller/errors.py
+++ b/src/pondtiller/errors.py
@@ -1,8 +1,8 @@
 """The closed list of error kinds and the one table from kind to answer.
 
-Whether a request ran, whether it may be sent again and, unless the failure knows better, when: all
-of it follows from the kind. The HTTP form is written by `httpio.server`. Which kind applies is
-decided where the request is refused or fails.
+The kind determines whether a request ran, whether it may be sent again and, unless the failure
+specifies it, when. The HTTP format is in `httpio.server`. The code that rejects a request, or in
+which it fails, decides which kind applies.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Ran(StrEnum):
-    """Whether a refused or failed request reached an engine."""
+    """Whether a rejected or failed request reached an engine."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -54,14 +54,15 @@
     status
         HTTP status code.
     ran
-        `Ran.NO` promises that no byte of the request reached an engine, or that the
-        engine's own refusal proves that it did not start.
+        `Ran.NO` guarantees that no byte of the request reached an engine, or that the engine's own
+        rejection proves that it did not start.
     retryable
         Whether the same request may succeed when it is sent again.
     retry_after_seconds
         When to come back, or None where that would not help.
-    message
+        When to retry, or None if a retry would not help.
         Sentence for people; details are appended by the place that fails.
+        Sentence for people; details are appended where the failure occurs.
     """
 
     status: int
@@ -120,12 +121,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """One failure: its kind and a sentence of detail.
+    """One failure: its kind and a detail sentence.
 
     Attributes
     ----------
     retry_after_seconds
-        When to come back, where that is known better than by the kind.
+        When to retry, if that is known better than by the kind.
     """
 
     kind: ErrorKind
--- a/src/pondtiller/hashing.py
+++ b/src/pondtiller/hashing.py
@@ -1,7 +1,7 @@
 """Rendezvous hashing and digests: every process computes the same from the same input.
 
-Pure and without a seed. `digest` is fast and not cryptographic; `content_digest` is for texts whose
-sender must not be able to choose the digest.
+Without a seed. `digest` is fast and not cryptographic; `content_digest` is for texts whose sender
+must not be able to choose the digest.
 """
 
 import hashlib
@@ -10,7 +10,7 @@
 import xxhash
 
 DIGEST_SHOWN = 8
-"""Hexadecimal digits of a key's digest that people see: enough to tell a table's keys apart."""
+"""Hexadecimal digits of a key's digest that are displayed: enough to tell a table's keys apart."""
 
 
 def score(key: str, candidate: str) -> int:
@@ -24,7 +24,7 @@
 
 
 def owner(key: str, candidates: Iterable[str]) -> str | None:
-    """Return the candidate that owns `key`, or None where there is none."""
+    """Return the candidate that owns `key`, or None if there are no candidates."""
     return min(candidates, key=lambda candidate: (-score(key, candidate), candidate), default=None)
 
 
@@ -36,7 +36,7 @@
 def content_digest(*parts: bytes) -> str:
     """Return a 128-bit digest of texts in their order, in hexadecimal.
 
-    A cryptographic one: whoever sends a text must not be able to make another's digest.
+    It is cryptographic, so that the sender of one text cannot produce another text's digest.
     """
     hasher = hashlib.blake2b(digest_size=16)
     for part in parts:
@@ -46,5 +46,5 @@
 
 
 def _encode(text: str) -> bytes:
-    # JSON may carry lone surrogates, which strict UTF-8 refuses.
+    # JSON may contain lone surrogates, which strict UTF-8 rejects.
     return text.encode("utf-8", "surrogatepass")
--- a/src/pondtiller/httpio/__init__.py
+++ b/src/pondtiller/httpio/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over curio sockets by h11, for both sides, with bounds on everything read."""
+"""HTTP/1.1 over curio sockets with h11, for both sides, with limits on everything read."""
--- a/src/pondtiller/httpio/client.py
+++ b/src/pondtiller/httpio/client.py
@@ -1,8 +1,8 @@
-"""An HTTP/1.1 client with kept connections, whole and streamed answers.
+"""An HTTP/1.1 client with kept connections, for whole and streamed answers.
 
-Owns the connections that are kept, for as long as the process. It repeats nothing: whoever calls
-learns whether the request may have been received. Engines are reached through
-`gateway/engines/engine_pool.py`, which keeps connections by rules of its own.
+Holds the kept connections for the life of the process. It retries nothing: the caller learns
+whether the request may have been received. Engines are reached through
+`gateway/engines/engine_pool.py`, which has its own rules for kept connections.
 """
 
 import math
@@ -18,18 +18,17 @@
 from pondtiller.process import clock
 
 READ_BYTES = 65_536
-"""Read from a connection at once, at most, in bytes. Chosen, not measured: a whole answer of most
-calls comes in one read."""
-KEPT_CONNECTIONS = 32
-"""Connections to one address that are kept for later calls; it bounds open files only, since more
-than these may be used at once. Chosen, not measured."""
+"""Largest read, in bytes, so that most answers take a single read."""
+MAX_IDLE_CONNECTIONS = 32
+"""Connections to one address that are kept for later calls; limits open files only, since more than
+these may be in use at once."""
 CONNECT_SECONDS = 2.0
-"""Longest wait for a connection, in seconds; a call's own limit ends it earlier. Chosen, not
-measured: the system repeats a lost beginning after 1 s, so one loss is outlived."""
+"""Time limit of opening a connection; a call's own limit may end it earlier. The operating system
+repeats a lost SYN after 1 s, so one loss is tolerated."""
 
 
 class NotSentError(Exception):
-    """The connection failed before a byte of the request left."""
+    """The connection failed before any byte of the request was sent."""
 
 
 class BrokenError(Exception):
@@ -37,7 +36,7 @@
 
 
 class NoAnswerError(BrokenError):
-    """No whole answer came within the time of a call."""
+    """No complete answer came within a call's time limit."""
 
 
 def _always() -> bool:
@@ -56,7 +55,7 @@
     async def send(
         self, method: str, target: str, body: bytes, headers: tuple[tuple[str, str], ...]
     ) -> None:
-        """Send a request with a JSON body to this server by its address."""
+        """Send a request with a JSON body, with this server's address as its host."""
         own = (
             ("Host", f"{self.address.host}:{self.address.port}"),
             ("Content-Type", "application/json"),
@@ -66,7 +65,7 @@
     async def send_plain(
         self, method: str, target: str, body: bytes, headers: tuple[tuple[str, str], ...]
     ) -> None:
-        """Send a request with just these headers and the body's length."""
+        """Send a request with only these headers and the body's length."""
         head = h11.Request(
             method=method,
             target=target,
@@ -90,7 +89,7 @@
                 raise BrokenError("the answer did not begin")
 
     def read_body(self) -> "BodyPieces":
-        """Return the body piece by piece; an unfinished body raises `BrokenError`."""
+        """Return the body piece by piece; an incomplete body raises `BrokenError`."""
         return BodyPieces(self)
 
     async def next_piece(self) -> bytes | None:
@@ -103,7 +102,7 @@
         raise BrokenError("the answer ended early")
 
     def can_be_kept(self) -> bool:
-        """Return whether another request may be sent; prepares for it."""
+        """Return whether another request may be sent, and prepare for it."""
         if self._protocol.our_state is h11.DONE and self._protocol.their_state is h11.DONE:
             self._protocol.start_next_cycle()
             return True
@@ -127,8 +126,8 @@
                 raise BrokenError(str(error)) from error
 
 
-class KeptConnection(NamedTuple):
-    """A connection at rest, and since when, on the steady clock."""
+class IdleConnection(NamedTuple):
+    """An idle connection, and since when, on the monotonic clock."""
 
     connection: ClientConnection
     rests_since: float
@@ -137,8 +136,8 @@
 class BodyPieces:
     """Pieces of a body for `async for`.
 
-    No asynchronous generator: a reader may stop at any piece, and curio complains of each
-    generator that is left before its end.
+    Not an asynchronous generator: a reader may stop at any piece, and curio warns of each generator
+    that is not run to its end.
     """
 
     def __init__(self, connection: ClientConnection) -> None:
@@ -160,13 +159,13 @@
     Parameters
     ----------
     longest_rest_seconds
-        After so long at rest a connection is not used again: it may have turned silent, which only
+        Idle time after which a connection is not used again: it may have become silent, which only
         a call on it would show.
     """
 
     def __init__(self, longest_rest_seconds: float = math.inf) -> None:
         self._longest_rest_seconds = longest_rest_seconds
-        self._kept: dict[Address, list[KeptConnection]] = {}
+        self._kept: dict[Address, list[IdleConnection]] = {}
 
     async def request(
         self,
@@ -183,15 +182,15 @@
         Parameters
         ----------
         may_send
-            Asked once the connection is open, right before the request leaves: opening it may have
-            taken longer than a right to send lasts, also where timers stood still meanwhile.
+            Called once the connection is open, right before the request is sent: opening may have
+            taken longer than a right to send lasts, even if timers did not run meanwhile.
 
         Raises
         ------
         NotSentError
-            Nothing was sent.
+            If nothing was sent.
         BrokenError
-            The request may have taken effect; `NoAnswerError` where no whole answer came within
+            If the request may have taken effect; `NoAnswerError` if no complete answer came within
             `seconds`.
         """
         try:
@@ -234,7 +233,7 @@
     ) -> ClientConnection:
         """Send a request and return its connection, from which the answer is to be read.
 
-        Raises `NotSentError` where it may not be sent any more.
+        Raises `NotSentError` if the request may no longer be sent.
         """
         connection = await self._take_kept(address) or await self._connect(address)
         if not may_send():
@@ -254,13 +253,13 @@
     async def give_back(self, connection: ClientConnection) -> None:
         """Keep a connection whose answer was read to its end."""
         kept = self._kept.setdefault(connection.address, [])
-        if len(kept) < KEPT_CONNECTIONS and connection.can_be_kept():
-            kept.append(KeptConnection(connection, clock.monotonic()))
+        if len(kept) < MAX_IDLE_CONNECTIONS and connection.can_be_kept():
+            kept.append(IdleConnection(connection, clock.monotonic()))
         else:
             await connection.close()
 
     async def close_kept(self, address: Address) -> None:
-        """Close connections at rest: what made one silent may have done so to them."""
+        """Close idle connections: the cause of one silent connection may affect them too."""
         for kept in self._kept.pop(address, []):
             await kept.connection.close()
 
@@ -286,7 +285,7 @@
 
 
 def _was_closed(connection: ClientConnection) -> bool:
-    """Return whether a kept connection has something to read: its end, or noise."""
+    """Return whether a kept connection has something to read: its end, or unexpected data."""
     with connection._socket.blocking() as plain:
         try:
             plain.recv(1, curio.socket.MSG_PEEK | curio.socket.MSG_DONTWAIT)
--- a/src/pondtiller/httpio/messages.py
+++ b/src/pondtiller/httpio/messages.py
@@ -8,18 +8,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request that was read whole.
+    """A request that was read completely.
 
     Attributes
     ----------
     path
         Path without the query, percent-decoded.
     query
-        Parameters of the query; the last of a name counts.
+        Parameters of the query; the last value of a name counts.
     headers
-        Header values by lower-case name; the last of a name counts.
+        Header values by lower-case name; the last value of a name counts.
     raw_headers
-        All headers as they came, with names in lower case.
+        All headers as received, with names in lower case.
     """
 
     method: str
@@ -41,7 +41,7 @@
     headers: tuple[tuple[str, str], ...] = field(default=())
 
     def json(self) -> Any:
-        """Return the body read as JSON; raises `ValueError` where it is none."""
+        """Return the body parsed as JSON; raises `ValueError` if it is not JSON."""
         return json.loads(self.body)
 
 
--- a/src/pondtiller/httpio/metrics_server.py
+++ b/src/pondtiller/httpio/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serves a process's figures as Prometheus text on an address of its own."""
+"""Serves a process's metrics as Prometheus text on a separate address."""
 
 from collections.abc import Callable
 from typing import Any
--- a/src/pondtiller/httpio/server.py
+++ b/src/pondtiller/httpio/server.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 server: one curio task a connection, bounds on sizes and on slow senders.
+"""An HTTP/1.1 server: one curio task per connection, limits on sizes and on slow senders.
 
-Owns a connection until it ends. Requests are read whole before they are handled; answers may be
-streamed. What a request means is decided by its handler.
+Handles a connection until it ends. Requests are read completely before they are handled; answers
+may be streamed. The handler decides what a request means.
 """
 
 import errno
@@ -18,38 +18,36 @@
 from pondtiller.process.spawner import Spawner
 
 MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
-"""Longest body that is read, in bytes; longer ones are refused before any of it is read where the
-length is announced. Chosen, not measured: it bounds the memory of one request."""
+"""Longest body that is read, in bytes; if the length is announced, a longer one is rejected before
+any of it is read. Limits the memory of one request."""
 MAXIMUM_HEAD_BYTES = 32 * 1024
-"""Longest head of a request, in bytes, the default of the configuration's limit as well. Chosen,
-not measured: it bounds the memory of a connection whose head never ends."""
+"""Longest head of a request, in bytes, also the default of the configured limit. Limits the memory
+of a connection whose head never ends."""
 READ_BYTES = 65_536
-"""Read from a connection at once, at most, in bytes. Chosen, not measured."""
+"""Largest read from a connection, in bytes."""
 IDLE_SECONDS = 75.0
-"""How long a connection may be idle between two requests, in seconds; the default of the
-configuration's limit as well. Chosen, not measured."""
+"""How long a connection may be idle between two requests; also the default of the configured
+limit."""
 READ_SECONDS = 30.0
-"""Longest pause of a sender within a request, in seconds. Chosen, not measured: it frees
-connections whose senders are gone and bounds no sound sender."""
+"""Longest pause of a sender within a request: frees connections whose senders are gone, and is far
+above the pauses of working ones."""
 WRITE_SECONDS = 30.0
-"""Longest wait until a receiver has taken a piece of an answer, in seconds. Chosen, not measured,
-like `READ_SECONDS`."""
+"""Longest wait until a receiver has accepted a piece of an answer."""
 LINGER_SECONDS = 2.0
-"""How long what still comes after a refusal is read and dropped, in seconds. Without it the refusal
-of a body of 64 MB could be lost to the reset that closing with unread data causes. Chosen, not
-measured."""
+"""How long data after a rejection is read and discarded. Otherwise the rejection of a body of 64 MB
+could be lost to the reset that closing with unread data causes."""
 LINGER_READS = 64
-"""Reads within that time, at most: 4 MiB of `READ_BYTES` each, so that a sender that goes on costs
-little. Chosen, not measured."""
+"""Maximum reads within that time: 4 MiB at `READ_BYTES` each, which limits the cost of a sender
+that continues."""
 BACKLOG = 1024
-"""Connections that the kernel holds until they are accepted. Chosen, not measured: a burst of
-callers that waits for a moment of this process is not refused."""
+"""Connections that the kernel queues until they are accepted: a burst of callers during a short
+pause of this process is not refused."""
 ACCEPT_PAUSE_SECONDS = 0.05
-"""Pause before accepting again where the process has no file left, in seconds: it neither ends nor
-takes the loop for itself. Chosen, not measured."""
+"""Pause before accepting again when the process has no file descriptor left, which neither ends it
+nor blocks the event loop."""
 CLOSE_CHECK_SECONDS = 1.0
-"""How often it is looked whether a caller has left that sent more than its request, in seconds: its
-connection stays readable, so waiting for it would take the loop. Chosen, not measured."""
+"""Interval of the checks whether a caller has left that sent more than its request: its connection
+stays readable, so waiting for readability would spin the event loop."""
 NOT_HTTP = "what was sent is no HTTP/1.1 request"
 
 
@@ -59,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BadMessageError(Exception):
-    """The other side sent something that cannot be taken."""
+    """The other side sent a message that cannot be accepted."""
 
     failure: Failure
 
 
 class Exchange:
-    """One request on a connection, and the way to answer it."""
+    """One request on a connection, and the means to answer it."""
 
     def __init__(self, connection: "ServerConnection", request: HttpRequest) -> None:
         self.request = request
@@ -74,7 +72,7 @@
 
     @property
     def peer_port(self) -> int:
-        """Port from which the other side connected; OSError where it is gone."""
+        """Port from which the other side connected; raises `OSError` if it is gone."""
         return self._connection.peer_port
 
     async def respond(self, response: HttpResponse) -> None:
@@ -83,12 +81,12 @@
         await self._connection.send_response(response)
 
     async def start_stream(self, headers: tuple[tuple[str, str], ...] = ()) -> None:
-        """Begin a stream of server-sent events."""
+        """Start a stream of server-sent events."""
         self.started = True
         await self._connection.start_stream(headers)
 
     async def start_response(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
-        """Begin an answer whose body comes in pieces."""
+        """Start an answer whose body is sent in pieces."""
         self.started = True
         await self._connection.start_response(status, headers)
 
@@ -109,7 +107,7 @@
 
 
 def failure_response(failure: Failure) -> HttpResponse:
-    """Return an error in the shape that callers of the OpenAI protocol expect."""
+    """Return an error in the format that callers of the OpenAI protocol expect."""
     answer = failure.answer
     headers: tuple[tuple[str, str], ...] = (("X-Pondtiller-Ran", answer.ran.value),)
     if answer.retry_after_seconds is not None:
@@ -139,7 +137,7 @@
 
     @property
     def peer_port(self) -> int:
-        """Port from which the other side connected; OSError where it is gone."""
+        """Port from which the other side connected; raises `OSError` if it is gone."""
         return int(self._socket.getpeername()[1])
 
     async def serve(self, handler: Handler) -> None:
@@ -165,9 +163,9 @@
             await self.send_response(failure_response(failure))
 
     async def _linger(self) -> None:
-        """Read and drop what still comes for a moment.
+        """Read and discard remaining data for a moment.
 
-        Closing with unread data resets the connection, and the refusal could be lost.
+        Closing with unread data resets the connection, and the rejection could be lost.
         """
         try:
             await self._socket.shutdown(plain_socket.SHUT_WR)
@@ -205,7 +203,7 @@
             try:
                 event = self._protocol.next_event()
             except h11.RemoteProtocolError as error:
-                # The error's own text repeats what was sent, which may hold a caller's key.
+                # The error's own text repeats the received data, which may contain a caller's key.
                 raise BadMessageError(Failure(ErrorKind.BAD_REQUEST, NOT_HTTP)) from error
             if event is not h11.NEED_DATA:
                 return event
@@ -236,7 +234,7 @@
         await self._send(h11.Response(status_code=200, headers=[*all_headers, *headers]))
 
     async def start_response(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
-        """Send the head of an answer whose body comes in pieces."""
+        """Send the head of an answer whose body is sent in pieces."""
         closing = (("Connection", "close"),) if self._is_closing() else ()
         await self._send(h11.Response(status_code=status, headers=[*headers, *closing]))
 
@@ -258,7 +256,7 @@
             raise ConnectionLostError(str(error)) from error
 
     async def wait_closed(self) -> None:
-        """Return once the other side closed; data that it pipelines is left unread."""
+        """Return once the other side has closed; pipelined data is left unread."""
         while True:
             await curio.traps._read_wait(self._socket.fileno())
             try:
@@ -274,7 +272,7 @@
 
 
 def _check_announced_length(head: h11.Request) -> None:
-    """Refuse a body that is announced as too large before any of it is read."""
+    """Reject a body that is announced as too large before any of it is read."""
     for name, value in head.headers:
         if name == b"content-length" and int(value) > MAXIMUM_BODY_BYTES:
             raise BadMessageError(Failure(ErrorKind.BODY_TOO_LARGE))
@@ -306,7 +304,7 @@
 async def serve_http(
     listener: Any, handler: Handler, is_closing: Callable[[], bool] = _never
 ) -> None:
-    """Accept connections until cancelled; answers say so once `is_closing`."""
+    """Accept connections until cancelled; answers announce the closing once `is_closing`."""
     async with Spawner() as group:
         while True:
             try:
--- a/src/pondtiller/httpio/tests/test_client.py
+++ b/src/pondtiller/httpio/tests/test_client.py
@@ -9,7 +9,7 @@
 from pondtiller.httpio.server import Exchange, bind_tcp, serve_http
 
 
-def test_a_connection_that_rested_for_long_is_not_used_again() -> None:
+def test_a_connection_idle_for_long_is_not_reused() -> None:
     listener = bind_tcp("127.0.0.1", 0)
     address = Address(*listener.getsockname())
     ports: list[int] = []
@@ -30,7 +30,7 @@
     curio.run(main)
 
 
-def test_a_call_without_an_answer_is_not_followed_by_one_on_a_kept_connection() -> None:
+def test_after_an_unanswered_call_no_kept_connection_is_used() -> None:
     listener = bind_tcp("127.0.0.1", 0)
     address = Address(*listener.getsockname())
     ports: set[int] = set()
--- a/src/pondtiller/programs.py
+++ b/src/pondtiller/programs.py
@@ -1,7 +1,7 @@
-"""Runs a gateway or a replica as a program: settings, signals, reload. Loads no command line.
+"""Runs a gateway or a replica as a program: settings, signals, reload. No command line.
 
-Relies on `process` for signals and files. Each program's modules are loaded only when it runs, so
-that a replica does not pay for a gateway's memory. Exit codes are the caller's.
+Uses `process` for signals and files. Each program's modules are loaded only when it runs, so that a
+replica does not need a gateway's memory. The caller determines exit codes.
 """
 
 from pathlib import Path
@@ -20,27 +20,27 @@
 
 
 class Process(Protocol[Given]):
-    """What runs until it is stopped."""
+    """A program that runs until it is stopped."""
 
     async def run(self) -> None:
         """Serve until stopped."""
 
     async def stop(self) -> None:
-        """Stop as planned."""
+        """Stop gracefully."""
 
     def reload(self, settings: Given) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
 
 
 def run_gateway(path: Path) -> list[Problem]:
-    """Run a gateway until it is stopped; return what is wrong with its settings."""
+    """Run a gateway until it is stopped; return the problems of its settings."""
     from pondtiller.gateway.process import GatewayProcess
 
     return _run(path, GatewaySettings, GatewayProcess)
 
 
 def run_replica(path: Path) -> list[Problem]:
-    """Run a replica until it is stopped; return what is wrong with its settings."""
+    """Run a replica until it is stopped; return the problems of its settings."""
     from pondtiller.replica.process import ReplicaProcess
 
     return _run(path, ReplicaSettings, ReplicaProcess)
--- a/src/pondtiller/settings.py
+++ b/src/pondtiller/settings.py
@@ -1,8 +1,8 @@
-"""Settings of a gateway and of a replica: a TOML file, checked on entry.
+"""Settings of a gateway and of a replica: a TOML file, validated on input.
 
-Names and forms are those that `deploy/*.template` fills; unknown keys are refused. Values are in
-seconds but where they say otherwise. Owns no state: a process keeps the value that it read, and
-takes a changed one at a reload.
+Names and formats are those of `deploy/*.template`; unknown keys are rejected. Values are in seconds
+unless stated otherwise. Has no state: a process keeps the value that it read, and applies a changed
+one at a reload.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 def _refused_by(reason_against: Callable[[float], str | None]) -> AfterValidator:
-    """Return a check that refuses a bound for which there is a reason against it."""
+    """Return a validator that rejects a bound for which there is a reason against it."""
 
     def check(seconds: float) -> float:
         reason = reason_against(seconds)
@@ -46,20 +46,20 @@
 
 
 class Section(BaseModel):
-    """Base of all sections: unknown keys are refused."""
+    """Base of all sections; unknown keys are rejected."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
 
 class Durations(Section):
-    """How long things may take, in seconds.
+    """Time limits, in seconds.
 
     Attributes
     ----------
     stop
         From the request to stop until the process must have ended.
     lease
-        Least time between orders of two holders to one engine.
+        Shortest time between the orders of two holders to one engine.
     keep_steps
         How long a closed step stays readable.
     """
@@ -70,14 +70,14 @@
 
 
 class Processor(Section):
-    """What of its machine's processor the process may use.
+    """The part of the machine's processor that the process may use.
 
     Attributes
     ----------
     share
-        Part of one core's time.
+        Fraction of one core's time.
     cores
-        How many times as fast as one core that part is.
+        Speed of that part relative to one core.
     """
 
     share: float = Field(default=1.0, gt=0, le=1024)
@@ -90,14 +90,14 @@
 
 
 class Usage(Section):
-    """Reports of use to the operator, in seconds.
+    """Usage reports to the operator, in seconds.
 
     Attributes
     ----------
     window
-        Length of the windows by which requests are counted; 0 where none are reported.
+        Length of the windows by which requests are counted; 0 if none are reported.
     late
-        A report counts until so long after its window.
+        How long after its window a report still counts.
     """
 
     window: float = Field(default=0.0, ge=0, le=86_400)
@@ -105,14 +105,14 @@
 
 
 class OperatorApi(Section):
-    """The operator's own interface.
+    """The operator's API.
 
     Attributes
     ----------
     address
-        Where it is; empty where there is none.
+        Its address; empty if there is none.
     duties
-        Calls that one gateway at a time, the leader, is to make there.
+        Calls that one gateway at a time, the leader, must make there.
     """
 
     address: OptionalAddress = ""
@@ -120,27 +120,27 @@
 
 
 class Scaling(Section):
-    """Engines by need.
+    """Scaling of the number of engines.
 
     Attributes
     ----------
     policy
-        By what engines are ordered, where the operator makes that a duty and a service's row says
-        how many there may be; `leave` orders none.
+        Policy by which engines are ordered, if the operator makes that a duty and a service's row
+        gives their numbers; `leave` orders none.
     """
 
     policy: PolicyName = PolicyName.LEAVE
 
 
 class Keys(Section):
-    """What a gateway does with tenants' keys while it cannot hear of changes.
+    """Handling of tenants' keys while a gateway receives no changes.
 
     Attributes
     ----------
     fail_closed
-        Whether keys are refused once the configuration was not heard of for long.
+        Whether keys are refused once no configuration update was possible for `unheard`.
     unheard
-        For how long, in seconds.
+        That time, in seconds.
     """
 
     fail_closed: bool = False
@@ -148,14 +148,14 @@
 
 
 class News(Section):
-    """How soon what changes in the store must be in force here, in seconds.
+    """Time within which a change in the store must take effect here, in seconds.
 
     Attributes
     ----------
     configuration
-        From the store's acknowledgement of a configuration until requests are decided by it.
+        From the store's acknowledgement of a configuration until it affects requests.
     engines
-        The same of an engine that leaves, until no request goes there.
+        The same for a leaving engine, until no request goes to it.
     """
 
     configuration: NewsSeconds = Field(default=4.0, le=3600)
@@ -163,12 +163,12 @@
 
 
 class Evacuation(Section):
-    """Evacuations of zones that the operator asks for.
+    """Zone evacuations requested by the operator.
 
     Attributes
     ----------
     within
-        Seconds after which no request may reach an engine of the zone; 0 where none are asked for.
+        Seconds after which no request may reach an engine of the zone; 0 if none are requested.
     """
 
     within: EvacuationSeconds = Field(default=0.0, ge=0, le=3600)
@@ -177,7 +177,7 @@
 class Cold(Section):
     """What all machines together may send to a cold engine in any second.
 
-    The engine's rate, as its service's row gives it, times `excess`, and `slack` requests.
+    The engine's rate from its service's row times `excess`, plus `slack` requests.
     """
 
     excess: float = Field(default=1.0, ge=0, le=1000)
@@ -185,7 +185,7 @@
 
 
 class Losses(Section):
-    """What may be lost at one time with all promises kept, besides `losses` replicas.
+    """Simultaneous losses with which all promises are kept, besides `losses` replicas.
 
     Attributes
     ----------
@@ -203,20 +203,20 @@
     Attributes
     ----------
     callers, readiness, links
-        Addresses to listen on: for callers and trainers, for readiness and metrics, for the
-        other gateways. The kernel chooses where a port is 0.
+        Addresses to listen on: for callers and trainers, for readiness and metrics, for the other
+        gateways. The kernel chooses the port if it is 0.
     announced_links
-        Address at which others reach `links`; empty where it is the one listened on.
+        Address at which others reach `links`; empty if it is the listening address.
     store
         Address of the platform's object store.
     metrics
-        Address to listen on for scrapes; empty where there is none.
+        Address to listen on for scrapes; empty if there is none.
     losses
-        Replicas with their disks that may be lost at one time.
+        Replicas with their disks that may be lost at the same time.
     regions
-        Region by zone, of all zones; empty where all lie in one.
+        Region by zone, of all zones; empty if all are in one region.
     rate_excess
-        Part by which all gateways together may exceed a tenant's rate.
+        Fraction by which all gateways together may exceed a tenant's rate.
     """
 
     name: str
@@ -244,12 +244,12 @@
 
     @property
     def tolerance(self) -> Tolerance:
-        """What may be lost at one time."""
+        """Losses that are tolerated at the same time."""
         return Tolerance(self.losses, self.places_lost.zones, self.places_lost.regions)
 
     @property
     def wanted_replicas(self) -> int:
-        """Replicas that a group should have."""
+        """Number of replicas that a group should have."""
         return self.tolerance.smallest_size
 
 
@@ -261,15 +261,15 @@
     links
         Address to listen on for the gateways.
     announced_links
-        Address at which they reach it; empty where it is the one listened on.
+        Address at which they reach it; empty if it is the listening address.
     data_folder
         Folder on the small disk.
     metrics
-        Address to listen on for scrapes; empty where there is none.
+        Address to listen on for scrapes; empty if there is none.
     first_start
         Whether this is the first start of the whole system.
     regions
-        Region by zone, of all zones; empty where all lie in one.
+        Region by zone, of all zones; empty if all are in one region.
     """
 
     name: str
--- a/src/pondtiller/tests/test_kept_forms.py
+++ b/src/pondtiller/tests/test_kept_forms.py
@@ -1,8 +1,8 @@
-"""What an earlier release wrote is read as it was meant, and written the same again.
+"""Data written by an earlier release is read correctly and written the same again.
 
 The files in kept_forms/ were written by the code before its modules were split and renamed, with a
-value of its own in each field. They are never written again: a form that may change gets a new
-file beside the old one.
+distinct value in each field. They are never rewritten: a format that may change gets a new file
+beside the old one.
 """
 
 import json
@@ -38,14 +38,14 @@
 
 
 @pytest.mark.parametrize("kept", FRAMES, ids=[each["type"] for each in FRAMES])
-def test_a_frame_is_read_with_each_field_and_written_the_same(kept: dict[str, Any]) -> None:
+def test_a_frame_survives_reading_and_writing_with_each_field(kept: dict[str, Any]) -> None:
     data = bytes.fromhex(kept["frame"])
     (frame,) = FrameReader().feed(data)
     assert type(frame.message).__name__ == kept["type"]
     assert (frame.call, frame.is_reply) == (CALL, True)
     read = frame.message.to_dict(include_default_values=True)
     assert {name: read[name] for name in kept["fields"]} == kept["fields"]
-    # Nothing else was in the frame: a field that came later reads as its default.
+    # The frame contained nothing else: a later field has its default.
     assert set(frame.message.to_dict()) <= set(kept["fields"])
     assert encode(encode_message(frame.message), CALL, is_reply=True) == data
 
@@ -58,7 +58,7 @@
     return records
 
 
-def test_a_replicas_file_is_read_record_by_record_and_written_the_same(tmp_path: Path) -> None:
+def test_a_replicas_file_survives_reading_and_writing_record_by_record(tmp_path: Path) -> None:
     records = read_records(tmp_path)
     assert [each.to_dict(include_default_values=True) for each in records] == kept_json(
         "steps.json"
@@ -80,7 +80,7 @@
     return StoreObject(name=name, revision=1, spec=spec, status=status)
 
 
-def test_our_objects_in_the_store_are_read_and_written_the_same() -> None:
+def test_our_objects_in_the_store_survive_reading_and_writing() -> None:
     kept = kept_json("objects.json")
     group = objects.read_group(stored("first", kept["group"]))
     assert group is not None
@@ -105,6 +105,6 @@
     settings = load_toml(KEPT / f"{name}.toml", model).unwrap()
     read, kept = settings.model_dump(mode="json"), kept_json(f"{name}-settings.json")
     assert {key: read[key] for key in kept} == kept
-    # A section that came later reads as its default.
+    # A section added later has its default.
     for key in read.keys() - kept.keys():
         assert getattr(settings, key) == model.model_fields[key].get_default()
