--- a/src/pondtiller/platform/__init__.py
+++ b/src/pondtiller/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls. Nothing here decides anything.
+"""The users' platform: its names, formats and calls. Contains no decisions.
 
-Outside this package nothing knows the platform's words; inside it nothing is decided.
+No code outside this package uses the platform's words, and no code inside it decides anything.
 """
--- a/src/pondtiller/platform/configuration.py
+++ b/src/pondtiller/platform/configuration.py
@@ -1,7 +1,7 @@
-"""The operator's configuration object as a route table.
+"""Parses the operator's configuration object into a route table.
 
-Owns nothing and decides nothing: which of two tables is in force is decided in
-`gateway/watches.py`. Keys of tenants become digests before anything else sees the object
+Has no state and decides nothing: which of two tables is in force is decided in
+`gateway/watches.py`. Tenants' keys are replaced by digests before any other code sees the object
 (`without_keys`).
 """
 
@@ -22,27 +22,26 @@
 
 KEYS = "api_keys"
 KEY_DIGESTS = "key_digests"
-"""Field of our own that stands for the keys of a tenant from the moment of reading."""
+"""Own field that replaces the keys of a tenant from the moment of reading."""
 
 TIME_LIMIT_MS = 10_000.0
-"""Of a row that gives none. Chosen, not measured; the operator's configuration names it for each
-row."""
+"""Default of a row's time limit; the operator's configuration usually gives one for each row."""
 OBJECTIVE_MS = 1_000.0
-"""Of a row that gives none, the same."""
+"""Default of a row's objective."""
 STEP_MS = 60_000.0
-"""Of a row that gives none, the same: until the results of a step are due."""
+"""Default of a row's time until the results of a step are due."""
 QUEUE_SECONDS = 120.0
-"""Of a row that gives none, the same: after which a sample may be given up. In s, not in ms."""
+"""Default of a row's time after which a sample may be abandoned, in s and not in ms."""
 MAX_CONNECTIONS = 100
-"""Of a service that gives none, the same: connections that one engine accepts."""
+"""Default of a service's connections that one engine accepts."""
 HEAD_BYTES = 32_768
-"""Of a configuration that gives none, the same: longest head of a request, in bytes."""
+"""Default of the longest head of a request, in bytes."""
 BODY_BYTES = 32 * 1024 * 1024
-"""Of a configuration that gives none, the same: longest body of a request, in bytes."""
+"""Default of the longest body of a request, in bytes."""
 HEAD_MS = 10_000.0
-"""Of a configuration that gives none, the same: longest time for the head of a request."""
+"""Default of the longest time for the head of a request."""
 IDLE_MS = 75_000.0
-"""Of a configuration that gives none, the same: longest time between two requests."""
+"""Default of the longest time between two requests."""
 
 KINDS = {
     "safe": RequestKind.SAFE,
@@ -54,7 +53,7 @@
 
 
 def route_table(spec: Any) -> Result[RouteTable, str]:
-    """Read a configuration; the error says what is wrong with it."""
+    """Parse a configuration; the error says what is wrong with it."""
     try:
         return Ok(
             RouteTable(
@@ -97,7 +96,7 @@
 def without_keys(spec: Any) -> Any:
     """Return a configuration with digests in place of the tenants' keys.
 
-    Whatever is not a configuration comes back without its tenants: it must not carry keys on.
+    A value that is not a configuration is returned without its tenants: it must not contain keys.
     """
     if not isinstance(spec, dict) or "tenants" not in spec:
         return spec
@@ -152,7 +151,7 @@
 
 
 def _scaling(given: dict[str, Any] | None) -> Scaling | None:
-    """Read what may be ordered; nothing is where the least number is above the most."""
+    """Parse the range that may be ordered; None if the minimum is above the maximum."""
     if not given:
         return None
     least, most = int(given.get("min_replicas") or 0), int(given.get("max_replicas") or 0)
--- a/src/pondtiller/platform/engine_answers.py
+++ b/src/pondtiller/platform/engine_answers.py
@@ -1,10 +1,11 @@
-"""What the head of an engine's answer says."""
+"""The contents of the head of an engine's answer."""
 
 from pondtiller.platform import names
 from pondtiller.platform.headers import Headers, header
 
 MISDIRECTED = 421
-"""Status of an engine that a request was not meant for: another start of it may be at its place."""
+"""Status of an engine that a request was not meant for: another incarnation may have its
+address."""
 
 
 def signature(headers: Headers) -> str | None:
@@ -23,6 +24,6 @@
 
 
 def answer_version(headers: Headers) -> int:
-    """Return the version of the weights with which an answer begins; 0 where none is named."""
+    """Return the version of the weights with which an answer begins; 0 if none is named."""
     text = header(headers, names.VERSIONS) or "0"
     return int(text) if text.isdecimal() else 0
--- a/src/pondtiller/platform/engine_entries.py
+++ b/src/pondtiller/platform/engine_entries.py
@@ -1,6 +1,6 @@
-"""Engines' list entries, read with suspicion: another writer may leave one that is not whole.
+"""Parses engines' list entries, defensively: another writer may leave an incomplete one.
 
-An entry that lacks a field, or has one of another type, names no engine to use.
+An entry that lacks a field, or has one of the wrong type, names no usable engine.
 """
 
 import math
@@ -58,7 +58,7 @@
 
 
 def problem_of(spec: Any) -> str:
-    """Return which field keeps an entry from being read; empty where it is sound."""
+    """Return which field makes an entry invalid; empty if it is valid."""
     if not isinstance(spec, dict):
         return "no entry"
     wrong = [name for name, is_sound in REQUIRED.items() if not is_sound(spec.get(name))]
@@ -71,7 +71,7 @@
 
 
 def engine_entry(name: str, spec: Any, revision: int = 0) -> EngineEntry | None:
-    """Read an engine's list entry, written at a revision; None where it is not to be read."""
+    """Parse an engine's list entry, written at a revision; None if it is invalid."""
     if problem_of(spec):
         return None
     return EngineEntry(
@@ -91,5 +91,5 @@
 
 
 def _leaves_seconds(given: Any) -> float | None:
-    """Return how long an engine still runs; None where it is not said, or no sensible number."""
+    """Return how long an engine will still run; None if that is missing or not a valid number."""
     return given / 1000.0 if _is_duration(given) else None
--- a/src/pondtiller/platform/engine_orders.py
+++ b/src/pondtiller/platform/engine_orders.py
@@ -1,4 +1,4 @@
-"""What an engine says of itself when it is asked, and orders to load a version of the weights."""
+"""An engine's report about itself, and orders to load a version of the weights."""
 
 import json
 from dataclasses import dataclass
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself.
+    """An engine's report about itself.
 
     Attributes
     ----------
     models
         Version that it serves, by model.
     orders_taken
-        Orders that it has taken since it started. The platform's name speaks of a sequence.
+        Orders that it has accepted since it started. The platform's name calls this a sequence.
     started_ms
-        When it started, in ms since 1970; 0 where it does not say so.
+        When it started, in ms since 1970; 0 if it does not say.
     """
 
     models: dict[str, int]
@@ -36,7 +36,7 @@
 
 
 def engine_report(body: bytes) -> EngineReport | None:
-    """Read an engine's report; None where it is none."""
+    """Parse an engine's report; None if it is invalid."""
     try:
         given = json.loads(body)
         orders = int(given.get("sequence") or 0)
@@ -62,5 +62,5 @@
 
 
 def order_headers(engine: str) -> Headers:
-    """Return the headers of an order, which only this start of the engine takes."""
+    """Return the headers of an order, which only this incarnation of the engine accepts."""
     return ((names.EXPECT_ENGINE, name_of(engine)),)
--- a/src/pondtiller/platform/events.py
+++ b/src/pondtiller/platform/events.py
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event of an engine's stream.
+    """One complete event of an engine's stream.
 
     Attributes
     ----------
     number
-        Counts from 1; -1 where the event gives none.
+        Counts from 1; -1 if the event has none.
     version
-        Version of the weights from this event on; None where it did not change.
+        Version of the weights from this event on; None if it did not change.
     """
 
     number: int
@@ -24,18 +24,18 @@
 
 
 class EventReader:
-    """Cuts an engine's stream into whole events."""
+    """Splits an engine's stream into complete events."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def has_rest(self) -> bool:
-        """Whether the stream stands within an event."""
+        """Whether the stream is in the middle of an event."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[StreamEvent]:
-        """Take bytes and return the events that are whole."""
+        """Add bytes and return the complete events."""
         self._buffer += data.replace(b"\r\n", b"\n")
         while True:
             block, separator, rest = self._buffer.partition(b"\n\n")
--- a/src/pondtiller/platform/headers.py
+++ b/src/pondtiller/platform/headers.py
@@ -1,11 +1,11 @@
-"""Header lines, and those of requests and answers as they are passed on."""
+"""Header lines, and the headers of forwarded requests and answers."""
 
 from pondtiller.platform import names
 from pondtiller.routes.engines import name_of
 from pondtiller.wire.steplog import Sample
 
 Headers = tuple[tuple[str, str], ...]
-"""Names in lower case and values, in the order in which they came."""
+"""Names in lower case with values, in the order received."""
 
 HOP_HEADERS = frozenset(
     {
@@ -20,23 +20,23 @@
         "expect",
     }
 )
-"""What belongs to one connection (RFC 9110, section 7.6.1), or to how a message is framed on it."""
+"""Headers of a single connection (RFC 9110, section 7.6.1), or of a message's framing on it."""
 OWN_HEADERS = frozenset({names.DEADLINE, names.EXPECT_ENGINE, names.EXPECT_VERSION})
-"""What each attempt sets itself: a caller's own never reach an engine."""
+"""Headers that each attempt sets itself: a caller's own never reach an engine."""
 HIGHEST_PRIORITY = 9
-"""Highest rank that an engine takes on the platform; 0 is served first."""
+"""Highest rank that an engine accepts on the platform; 0 is served first."""
 CALLER_HEADERS = frozenset({names.CALLER_KEY, names.TENANT})
-"""What says who calls: engines get neither a key nor a tenant that a caller claims to be."""
+"""Headers that identify the caller: engines get neither a key nor a tenant that a caller claims."""
 
 
 def tenant_headers(received: Headers, tenant: str) -> Headers:
-    """Return a caller's headers with its tenant in place of its key and of what it claims."""
+    """Return a caller's headers with its tenant in place of its key and of its own claims."""
     kept = tuple(each for each in received if each[0] not in CALLER_HEADERS)
     return (*kept, (names.TENANT, tenant)) if tenant else kept
 
 
 def forwarded_headers(received: Headers, engine: str, seconds_left: float) -> Headers:
-    """Return a caller's headers as an engine gets them."""
+    """Return a caller's headers as sent to an engine."""
     kept = tuple(
         (name, value)
         for name, value in received
@@ -50,7 +50,7 @@
 
 
 def returned_headers(received: Headers) -> Headers:
-    """Return an engine's headers as the caller gets them."""
+    """Return an engine's headers as sent to the caller."""
     return tuple((name, value) for name, value in received if name not in HOP_HEADERS)
 
 
@@ -68,9 +68,9 @@
     Parameters
     ----------
     last_event
-        Event after which the stream goes on; 0 from the beginning.
+        Event after which the stream continues; 0 from the beginning.
     version
-        Version of the weights that must make the sample; None where any may.
+        Version of the weights that must produce the sample; None for any.
     """
     given = tuple((each.name.lower(), each.value) for each in sample.headers)
     own = tenant_headers(given, tenant)
@@ -89,7 +89,7 @@
 
 
 def scorer_headers(request: str, host: str, content: bytes) -> Headers:
-    """Return the headers of a scorer's request as a caller would send them."""
+    """Return the headers of a scorer's request, as a caller would send them."""
     return (("host", host), (names.REQUEST_ID, request), ("content-length", str(len(content))))
 
 
@@ -102,6 +102,6 @@
 
 
 def continued(headers: Headers, last_event: int) -> Headers:
-    """Return a request's headers with the event after which its stream goes on."""
+    """Return a request's headers with the event after which its stream continues."""
     kept = tuple(each for each in headers if each[0] != names.LAST_EVENT)
     return (*kept, (names.LAST_EVENT, str(last_event)))
--- a/src/pondtiller/platform/mirror.py
+++ b/src/pondtiller/platform/mirror.py
@@ -1,7 +1,7 @@
 """A mirror of one kind of the store's objects, and its pages on the wire. No I/O.
 
-A mirror follows the store under the store's own revisions, so that a reader may go from one
-mirror to another, or to the store itself, with the revision that it has.
+A mirror follows the store under the store's own revisions, so that a reader may switch between
+mirrors, or to the store itself, with the revision that it has.
 """
 
 import json
@@ -21,15 +21,14 @@
 from pondtiller.wire.steplog import MirrorPage
 
 MAX_CHANGES = 512
-"""Changes that are kept for readers that come later; readers from before them list the kind anew.
-Chosen, not measured."""
+"""Changes that are kept for later readers; a reader from before them lists the kind again."""
 
 
 class MirrorStatus(IntEnum):
     """How a mirror answers; the numbers are part of the protocol.
 
-    UNAVAILABLE says that it may be behind the store, NOT_MIRRORED that too few ask for it to
-    follow the store at all.
+    UNAVAILABLE means that it may be behind the store, NOT_MIRRORED that too few gateways use it for
+    it to follow the store.
     """
 
     OK = 1
@@ -39,7 +38,7 @@
 
 
 class MirroredChange(NamedTuple):
-    """A change, with the store's revision up to which the answer that held it was complete."""
+    """A change, with the store's revision up to which the answer that contained it was complete."""
 
     at: int
     change: StoreChange
@@ -47,7 +46,7 @@
 
 @dataclass
 class MirroredKind:
-    """What a mirror knows of one kind.
+    """A mirror's copy of one kind.
 
     Attributes
     ----------
@@ -63,13 +62,13 @@
     changes: deque[MirroredChange] = field(default_factory=deque)
 
     def replace(self, objects: Iterable[StoreObject], at: int) -> None:
-        """Take a whole listing; what changed before it is not known one by one."""
+        """Apply a whole listing; the individual changes before it are unknown."""
         self.objects = {each.name: each for each in objects}
         self.changes.clear()
         self.at = self.oldest = at
 
     def change(self, changes: Iterable[StoreChange], at: int) -> None:
-        """Take all changes up to a revision."""
+        """Apply all changes up to a revision."""
         for each in changes:
             if each.is_gone:
                 self.objects.pop(each.object.name, None)
@@ -87,8 +86,8 @@
     def since(self, at: int) -> MirrorPage:
         """Return the changes after a revision.
 
-        A reader that came from elsewhere may know a part of an answer: what it knows is left
-        out, so that no object goes back to an older state.
+        A reader that switched to this mirror may already have a part of an answer, which is left
+        out so that no object returns to an older state.
         """
         if at < self.oldest:
             return MirrorPage(status=MirrorStatus.HISTORY_GONE)
@@ -111,39 +110,39 @@
 
 
 def listing_page(listing: StoreListing) -> MirrorPage:
-    """Return the page of a listing that the store itself gave."""
+    """Return the page of a listing from the store itself."""
     page = _page(listing.at, [StoreChange(each, False) for each in listing.objects])
     set_age(page, listing.age_seconds)
     return page
 
 
 def changes_page(changes: StoreChanges) -> MirrorPage:
-    """Return the page of changes that the store itself gave."""
+    """Return the page of changes from the store itself."""
     page = _page(changes.at, list(changes.changes))
     set_age(page, changes.age_seconds)
     return page
 
 
 def set_age(page: MirrorPage, seconds: float) -> None:
-    """Say how old what a page tells is."""
+    """Set the age of a page's contents."""
     page.age_milliseconds = int(seconds * 1000)
 
 
 def age_seconds(page: MirrorPage) -> float:
-    """Return how old what a page tells was when the replica answered."""
+    """Return the age of a page's contents when the replica answered."""
     return page.age_milliseconds / 1000.0
 
 
 def read_listing(page: MirrorPage) -> StoreListing:
-    """Return a page as a listing; raises `ValueError` where it is not sound."""
+    """Parse a page as a listing; raises `ValueError` if it is malformed."""
     objects = tuple(each.object for each in _changes(page))
     return StoreListing(objects, page.at, age_seconds(page))
 
 
 def read_changes(page: MirrorPage) -> StoreChanges:
-    """Return a page as changes; raises `ValueError` where it is not sound.
+    """Parse a page as changes; raises `ValueError` if it is malformed.
 
-    Raises `HistoryGoneError` where the mirror does not keep all changes that were asked for.
+    Raises `HistoryGoneError` if the mirror does not keep all requested changes.
     """
     if page.status == MirrorStatus.HISTORY_GONE:
         raise HistoryGoneError
--- a/src/pondtiller/platform/object_client.py
+++ b/src/pondtiller/platform/object_client.py
@@ -1,8 +1,8 @@
 """Calls to the platform's object store.
 
-Owns how often each kind of call was made and which objects could not be read. It repeats no call
-and decides nothing by what it reads: watching with retries is in `store/store_watch.py`. Keys of
-callers that a configuration holds become digests here.
+Counts the calls of each kind and the objects that could not be parsed. It retries no call and
+decides nothing by what it reads: watching with retries is in `store/store_watch.py`. Callers' keys
+in a configuration are replaced by digests here.
 """
 
 import json
@@ -20,17 +20,17 @@
 from pondtiller.process import clock, logs
 
 CALL_SECONDS = 2.0
-"""Longest wait for an answer that the store does not hold back, in seconds. Chosen, not
-measured."""
+"""Time limit of a call that the store answers at once."""
 WATCH_MARGIN_SECONDS = 0.4
-"""How much longer than its own wait a watch may take, in seconds, for the way of its answer: twice
-that of a slow store."""
+"""How much longer than its own wait a watch may take, for the transfer of its answer: twice that of
+a slow store."""
 MAX_REST_SECONDS = 1.5
-"""How long a connection to the store may rest and be used again: longer than a gateway rests
-between two calls for engines, and less than mirrors are asked before the store is."""
+"""How long a connection to the store may be idle and still be used: longer than a gateway's pause
+between two calls for engines, and less than the time for which mirrors are asked before the store
+is."""
 MAX_UNREAD = 200
-"""Objects that cannot be read and are logged by name, in the life of a process: it bounds memory
-and log lines. Chosen, not measured; the count goes on beyond it."""
+"""Unparsable objects that are logged by name, in the life of a process: limits memory and log
+lines; the count continues beyond it."""
 
 
 class StoreCallError(Exception):
@@ -38,19 +38,19 @@
 
 
 class StoreUnreachedError(StoreCallError):
-    """A call got no whole answer: its connection failed, or was silent."""
+    """A call got no complete answer: its connection failed, or was silent."""
 
 
 class StoreSilentError(StoreUnreachedError):
-    """A call got no answer within its time."""
+    """A call got no answer within its time limit."""
 
 
 class HistoryGoneError(Exception):
-    """The store does not hold the history that a watch wants."""
+    """The store does not have the history that a watch requires."""
 
 
 class PutOutcome(Enum):
-    """What became of a write."""
+    """Result of a write."""
 
     DONE = "done"
     CONFLICT = "conflict"
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreObject:
-    """An object: name, revision of its last change, what its owner wrote, status."""
+    """An object: name, revision of its last change, its owner's contents, status."""
 
     name: str
     revision: int
@@ -74,7 +74,7 @@
     Attributes
     ----------
     age_seconds
-        How long ago, at most, the store held just these, when the answer was read.
+        Greatest possible time since the store held exactly these, when the answer was read.
     """
 
     objects: tuple[StoreObject, ...]
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChange:
-    """A change of an object, or its end."""
+    """A change of an object, or its removal."""
 
     object: StoreObject
     is_gone: bool
@@ -92,12 +92,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChanges:
-    """What a watch returned: changes, and the revision to go on from.
+    """Result of a watch: changes, and the revision to continue from.
 
     Attributes
     ----------
     age_seconds
-        How long ago, at most, there were no further changes, when the answer was read.
+        Greatest possible time since there were no further changes, when the answer was read.
     """
 
     changes: tuple[StoreChange, ...]
@@ -111,9 +111,9 @@
     Attributes
     ----------
     calls
-        Calls by kind of call, for `/metrics`.
+        Number of calls by kind, for `/metrics`.
     unread
-        Objects that could not be read, and were left out.
+        Objects that could not be parsed, and were left out.
     """
 
     def __init__(self, address: Address, client: HttpClient) -> None:
@@ -124,7 +124,7 @@
         self._unread: set[tuple[str, str]] = set()
 
     async def list_all(self, kind: str) -> StoreListing:
-        """Return all objects of a kind as they are at one revision; raises `StoreCallError`."""
+        """Return all objects of a kind at one revision; raises `StoreCallError`."""
         asked_at = clock.monotonic()
         found: list[StoreObject] = []
         revisions: list[int] = []
@@ -147,7 +147,7 @@
     async def _with_changes(
         self, kind: str, found: list[StoreObject], since: int
     ) -> tuple[list[StoreObject], int]:
-        """Bring the pages of a listing to one revision: each was read at a revision of its own."""
+        """Bring the pages of a listing, each read at its own revision, to one revision."""
         try:
             changes = await self.watch(kind, since, 0.0)
         except HistoryGoneError as error:
@@ -174,11 +174,11 @@
         return StoreChanges(tuple(self._sound_changes(kind, events)), at, age)
 
     async def skip_idle_connections(self) -> None:
-        """Use no connection again that is at rest: any of them may be silent."""
+        """Reuse no idle connection: any of them may be silent."""
         await self._client.close_kept(self._address)
 
     async def read(self, kind: str, name: str) -> StoreObject | None:
-        """Return one object, or None where there is none; raises `StoreCallError`."""
+        """Return one object, or None if there is none; raises `StoreCallError`."""
         answer = await self._call("read", "GET", f"{kind}/{quote(name)}")
         if answer.status == 404:
             return None
@@ -188,7 +188,7 @@
         return found
 
     async def create(self, kind: str, name: str, spec: Any) -> PutOutcome:
-        """Make an object; a conflict where it is there. Raises `StoreCallError`."""
+        """Create an object; a conflict if it exists. Raises `StoreCallError`."""
         body = {"metadata": {"name": name}, "spec": spec}
         answer = await self._call("create", "POST", f"{kind}/{quote(name)}", body)
         return _outcome(answer)
@@ -199,7 +199,7 @@
         return _outcome(await self._call("replace", "PUT", f"{kind}/{quote(name)}", body))
 
     async def remove(self, kind: str, name: str) -> PutOutcome:
-        """Remove an object, at whichever revision; raises `StoreCallError`."""
+        """Remove an object at any revision; raises `StoreCallError`."""
         return _outcome(await self._call("remove", "DELETE", f"{kind}/{quote(name)}"))
 
     async def set_status(self, kind: str, name: str, revision: int, status: Any) -> PutOutcome:
@@ -209,7 +209,7 @@
         return _outcome(answer)
 
     def _sound(self, kind: str, given: list[Any]) -> Iterable[StoreObject]:
-        """Return the objects that can be read: one that cannot takes none of the others with it."""
+        """Return the objects that can be parsed; an invalid one does not affect the others."""
         read = (self._read_or_note(kind, each) for each in given)
         return (each for each in read if each is not None)
 
@@ -221,7 +221,7 @@
                 yield StoreChange(found, bool(event.get("gone")))
 
     def _read_or_note(self, kind: str, given: Any) -> StoreObject | None:
-        """Read an object; count one that cannot be read, and log its name once."""
+        """Parse an object; count an invalid one, and log its name once."""
         found = _object(kind, given)
         if found is not None:
             return found
@@ -248,9 +248,9 @@
 
 
 def age_of_answer(asked_at: float, wait_seconds: float, now: float) -> float:
-    """Return how long an answer may have lain unread: it was made when its wait ended, or before.
+    """Return how long an answer may have been unread: it was sent when its wait ended, or earlier.
 
-    A process that was paused reads an old answer; the time of reading says nothing of its age.
+    A process that was paused reads an old answer, so the time of reading does not show its age.
     """
     return max(0.0, now - asked_at - wait_seconds)
 
@@ -259,14 +259,14 @@
     if answer.status != status:
         raise StoreCallError(f"status {answer.status}")
     try:
-        # Bytes of one object that are no text must not keep the others from being read.
+        # Invalid UTF-8 in one object must not prevent reading the others.
         return json.loads(answer.body.decode("utf-8", "replace"))
     except (ValueError, RecursionError) as error:
         raise StoreCallError("the answer is no JSON") from error
 
 
 def _page(page: Any, field: str) -> tuple[list[Any], int]:
-    """Return what stands under a field of an answer, and the store's revision."""
+    """Return the list in a field of an answer, and the store's revision."""
     try:
         return list(page[field]), int(page["at"])
     except (KeyError, TypeError, ValueError) as error:
@@ -274,14 +274,14 @@
 
 
 def _name(given: Any) -> str:
-    """Return an object's name as far as it has one."""
+    """Return an object's name if it has one."""
     metadata = given.get("metadata") if isinstance(given, dict) else None
     name = metadata.get("name") if isinstance(metadata, dict) else None
     return name if isinstance(name, str) else ""
 
 
 def _object(kind: str, given: Any) -> StoreObject | None:
-    """Read an object; the keys of callers that a configuration holds end here."""
+    """Parse an object; the callers' keys in a configuration are removed here."""
     name = _name(given)
     try:
         revision = int(given["metadata"]["revision"])
--- a/src/pondtiller/platform/objects.py
+++ b/src/pondtiller/platform/objects.py
@@ -1,4 +1,4 @@
-"""The system's own objects, and the small ones of others, as typed values and back."""
+"""The system's own objects, and small ones of others, parsed and formatted."""
 
 import math
 from dataclasses import dataclass
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedVersion:
-    """A version of a model's weights that a trainer named."""
+    """A version of a model's weights that a trainer published."""
 
     model: str
     version: int
 
 
 def named_version(found: StoreObject) -> NamedVersion | None:
-    """Read a named version; None where it is not to be read."""
+    """Parse a published version; None if it is invalid."""
     spec = found.spec if isinstance(found.spec, dict) else {}
     model: Any = spec.get("model")
     version: Any = spec.get("version")
@@ -62,7 +62,7 @@
 
 
 def read_group(found: StoreObject) -> Group | None:
-    """Read the first group's object; None where it is not to be read."""
+    """Parse the first group's object; None if it is invalid."""
     try:
         members = []
         for given in found.spec["members"]:
@@ -82,7 +82,7 @@
 
 
 def suspect_spec(suspect: Suspect) -> dict[str, Any]:
-    """Return a content under which engines ended as an object."""
+    """Return the object of a content under which engines crashed."""
     spec = {"ends": sorted(suspect.ends), "until": suspect.until}
     if suspect.trials:
         spec |= {"trials": suspect.trials, "tried_at": suspect.tried_at}
@@ -92,7 +92,7 @@
 
 
 def read_suspect(found: StoreObject) -> Suspect | None:
-    """Read the object of a content; None where it is not to be read."""
+    """Parse the object of a content; None if it is invalid."""
     try:
         ends, until = found.spec["ends"], float(found.spec["until"])
         trials, tried_at = int(found.spec.get("trials", 0)), float(found.spec.get("tried_at", 0))
--- a/src/pondtiller/platform/operator_api.py
+++ b/src/pondtiller/platform/operator_api.py
@@ -1,6 +1,6 @@
-"""Calls to the operator's own interface that one gateway at a time makes, the leader.
+"""Calls to the operator's API that one gateway at a time makes, the leader.
 
-Owns nothing. When to call and what to do about a failure is decided by the leader's duties.
+Has no state. When to call, and how to handle a failure, is decided by the leader's duties.
 """
 
 import json
@@ -14,16 +14,16 @@
 
 
 class CallOutcome(NamedTuple):
-    """How a call ended.
+    """Result of a call.
 
     Attributes
     ----------
     is_done
-        Whether the platform took it.
+        Whether the platform accepted it.
     detail
         Its status, or why there is none.
     has_none
-        Whether it said that no such engine is to be had there now.
+        Whether it answered that no such engine is available there now.
     """
 
     is_done: bool
@@ -32,12 +32,12 @@
 
 
 def wants_use(duties: Collection[str]) -> bool:
-    """Return whether use is to be reported, by the duties that the settings name."""
+    """Return whether usage must be reported, according to the duties in the settings."""
     return names.USAGE_DUTY in duties
 
 
 def wants_scaling(duties: Collection[str]) -> bool:
-    """Return whether engines are to be ordered, by the duties that the settings name."""
+    """Return whether engines must be ordered, according to the duties in the settings."""
     return names.SCALING_DUTY in duties
 
 
@@ -54,7 +54,7 @@
 
 
 def usage_body(window: int, counts: Mapping[str, int]) -> bytes:
-    """Return the report of a window: how many requests of each tenant began in it."""
+    """Return the report of a window: how many requests of each tenant started in it."""
     return json.dumps({"window_id": window, "counts": dict(counts)}, sort_keys=True).encode()
 
 
@@ -64,7 +64,7 @@
     Parameters
     ----------
     holder
-        Name of this machine, which calls carry.
+        Name of this machine, sent with each call.
     """
 
     def __init__(self, address: Address, holder: str, client: HttpClient) -> None:
@@ -75,13 +75,13 @@
     async def report_use(
         self, content: bytes, fence: int, seconds: float, may_send: Callable[[], bool]
     ) -> CallOutcome:
-        """Report a window; only an answer that the platform took it counts as done."""
+        """Report a window; done only if the platform answered that it accepted the report."""
         return await self._call(names.USAGE_PATH, content, fence, seconds, may_send)
 
     async def order_engines(
         self, order: ScaleOrder, fence: int, seconds: float, may_send: Callable[[], bool]
     ) -> CallOutcome:
-        """Order a number of engines; without an answer it may have been taken."""
+        """Order a number of engines; without an answer it may have been accepted."""
         return await self._call(names.SCALE_PATH, scale_body(order), fence, seconds, may_send)
 
     async def _call(
--- a/src/pondtiller/platform/requests.py
+++ b/src/pondtiller/platform/requests.py
@@ -1,7 +1,7 @@
-"""What a caller's or trainer's request says, decoded once from its path, query and headers.
+"""The contents of a caller's or trainer's request, decoded once from path, query and headers.
 
-Owns nothing and decides nothing: it refuses no request, and knows neither table nor tenants. It
-relies on `httpio` for a request that was read whole. Bodies of steps are read by `step_format`.
+Has no state and decides nothing: it rejects no request, and knows neither table nor tenants. Relies
+on `httpio` for a completely read request. Bodies of steps are parsed by `step_format`.
 """
 
 from enum import Enum, auto
@@ -21,11 +21,11 @@
     Attributes
     ----------
     ROUTED
-        A path that the table's rows decide about: a live request, or a step that is submitted.
+        A path handled by the table's rows: a live request, or a step to submit.
     STEP
-        A step that was submitted: its results are read, or it is ended.
+        A submitted step: its results are read, or it is ended.
     SAMPLE
-        A sample of a step that was submitted: its body is read.
+        A sample of a submitted step: its body is read.
     """
 
     ROUTED = auto()
@@ -41,24 +41,24 @@
     target
         What the path names.
     identifier
-        Name that the caller chose; empty where it gave none. Of a step that is submitted this
-        header, not the body, names the step.
+        Name chosen by the caller; empty if there is none. For a step to submit, this header and not
+        the body names the step.
     step
-        Name of the step that the path names, as its owner knows it; empty for `ROUTED`. The
-        platform's word for a step is a lot, for a sample an item.
+        Name of the step in the path, as its owner knows it; empty for `ROUTED`. The platform calls
+        a step a lot and a sample an item.
     host
-        Host header as it came; empty where there is none.
+        Host header as received; empty if there is none.
     method, path, body, headers
-        As they came; the path percent-decoded and without its query, header names in lower case.
+        As received; the path percent-decoded and without its query, header names in lower case.
     request_target
-        Path and query as they stood in the request line.
+        Path and query as in the request line.
     seconds
-        How long the caller waits for the answer, in seconds from its arrival; None where it does
-        not say. The header's name says deadline, yet it holds a duration in ms, not a time.
+        How long the caller waits for the answer, in seconds from its arrival; None if it does not
+        say. The header's name says deadline, but it contains a duration in ms, not a time.
     key_digest
-        SHA-256 digest of the key that the caller shows; None where it shows none, or several. The
-        header's name says credential. The key itself is kept in `headers` only until these are
-        made into those of an engine.
+        SHA-256 digest of the caller's key; None if there is no key, or several. The header's name
+        is credential. The key itself is kept in `headers` only until these are converted to those
+        of an engine.
     """
 
     target: RequestTarget
@@ -75,15 +75,16 @@
 
 
 class ResultsRead(NamedTuple):
-    """Which results of a step a trainer wants.
+    """Which results of a step a trainer requests.
 
     Attributes
     ----------
     position
-        How many results it has: those after these are wanted. It may be negative. The parameter's
-        name speaks of a revision; results are counted, and the store has no part in it.
+        How many results it has; those after these are requested. It may be negative. The
+        parameter's name says revision, but it counts results and is unrelated to the store's
+        revisions.
     wait_seconds
-        How long to wait for one where there is none yet.
+        How long to wait for a result if there is none yet.
     """
 
     position: int
@@ -91,7 +92,7 @@
 
 
 def read_request(received: HttpRequest) -> CallerRequest:
-    """Return what a request says; whatever cannot be read is as if it were not there."""
+    """Return a request's contents; a malformed part counts as missing."""
     target, step = _target_and_step(received.path)
     return CallerRequest(
         target=target,
@@ -117,7 +118,7 @@
 
 
 def read_results_read(received: HttpRequest) -> Result[ResultsRead, str]:
-    """Return which results are wanted; the error says what is no number."""
+    """Return which results are requested; the error says which value is not a number."""
     try:
         position = int(received.query.get(names.FROM_POSITION) or 0)
         wait_seconds = float(received.headers.get(names.WAIT) or 0) / 1000.0
@@ -127,7 +128,7 @@
 
 
 def sample_name(received: HttpRequest) -> str:
-    """Return the name of the sample whose body is wanted; empty where none is named."""
+    """Return the name of the sample whose body is requested; empty if none is named."""
     return received.query.get("id") or ""
 
 
@@ -137,7 +138,7 @@
 
 
 def caller_seconds(headers: Headers) -> float | None:
-    """Return how long the caller waits, in seconds, or None where it does not say."""
+    """Return how long the caller waits, in seconds, or None if it does not say."""
     text = header(headers, names.DEADLINE)
     try:
         return float(text) / 1000.0 if text is not None else None
@@ -146,6 +147,6 @@
 
 
 def key_digest(headers: Headers) -> str | None:
-    """Return the digest of the key that a caller shows; None where it shows none, or several."""
+    """Return the digest of a caller's key; None if there is no key, or several."""
     shown = [value for name, value in headers if name == names.CALLER_KEY]
     return digest_of(shown[0]) if len(shown) == 1 and shown[0] else None
--- a/src/pondtiller/platform/step_format.py
+++ b/src/pondtiller/platform/step_format.py
@@ -17,7 +17,7 @@
 def read_step(
     identifier: str, host: str, path: str, body: bytes, tenant: str = ""
 ) -> Result[Step, str]:
-    """Read a step that a tenant submits; the error says what is wrong with it."""
+    """Parse a step that a tenant submits; the error says what is wrong with it."""
     try:
         given = json.loads(body)
         step = Step(
@@ -58,7 +58,7 @@
 
 
 def expected_tokens(sample: Sample) -> float:
-    """Return how many tokens a sample is expected to make: the hint, or the most allowed."""
+    """Return the expected number of tokens of a sample: the hint, or the largest allowed number."""
     given = {each.name.lower(): each.value for each in sample.headers}
     for text in (given.get(names.LENGTH_HINT), (given.get(names.TOKENS) or "").rpartition(",")[2]):
         try:
@@ -78,7 +78,7 @@
 
 
 def write_page(page: ResultsPage) -> bytes:
-    """Return a page of results as trainers read it."""
+    """Return a page of results in the trainers' format."""
     results: list[dict[str, Any]] = []
     for encoded in page.results:
         result = SampleResult().parse(encoded)
--- a/src/pondtiller/platform/tests/test_engine_entries.py
+++ b/src/pondtiller/platform/tests/test_engine_entries.py
@@ -1,4 +1,4 @@
-"""Entries of engines as other writers may leave them: none is used that is not whole."""
+"""Engine entries as other writers may leave them: no incomplete one is used."""
 
 import copy
 import json
@@ -44,7 +44,7 @@
     return made
 
 
-def test_a_sound_entry_is_read() -> None:
+def test_a_valid_entry_is_parsed() -> None:
     read = engine_entries.engine_entry("e", ENTRY, 7)
     assert read is not None
     assert (read.slots, read.started_ms, read.models) == (8, 1_700_000_000_000, {"m": 1})
@@ -78,7 +78,7 @@
         ("models", {"name": "m"}),
     ],
 )
-def test_an_entry_that_is_not_whole_names_no_engine(field: str, value: object) -> None:
+def test_an_entry_with_an_invalid_field_names_no_engine(field: str, value: object) -> None:
     assert engine_entries.engine_entry("e", changed(ENTRY, field, value), 7) is None
 
 
@@ -89,19 +89,19 @@
 
 
 @pytest.mark.parametrize("spec", [None, 5, "x", [], [ENTRY], b"\xff"])
-def test_what_is_no_entry_at_all_names_no_engine(spec: object) -> None:
+def test_a_value_that_is_no_entry_names_no_engine(spec: object) -> None:
     assert engine_entries.engine_entry("e", spec, 7) is None
 
 
 @pytest.mark.parametrize("value", [None, True, -3, 0, "1700000000000", 1.5, [], {}])
-def test_a_start_that_is_no_whole_number_is_not_known(value: object) -> None:
+def test_a_start_time_that_is_no_integer_is_unknown(value: object) -> None:
     read = engine_entries.engine_entry("e", changed(ENTRY, "born", value), 7)
     assert read is not None
     assert read.started_ms == 0
 
 
 @given(field=st.sampled_from(sorted(ENTRY)), value=ODD)
-def test_no_field_of_any_kind_makes_the_reading_fail(field: str, value: object) -> None:
+def test_no_field_of_any_type_raises(field: str, value: object) -> None:
     read = engine_entries.engine_entry("e", changed(ENTRY, field, value), 7)
     if read is not None:
         assert read.service and read.slots >= 1 and 0 < read.address.port < 65536
@@ -109,7 +109,7 @@
 
 
 @given(value=st.recursive(ODD, lambda each: st.dictionaries(st.text(max_size=8), each)))
-def test_no_object_of_any_kind_makes_a_reading_fail(value: object) -> None:
+def test_no_object_of_any_type_raises(value: object) -> None:
     found = StoreObject("x", 3, value)
     engine_entries.engine_entry("x", value, 3)
     objects.named_version(found)
--- a/src/pondtiller/platform/tests/test_formats.py
+++ b/src/pondtiller/platform/tests/test_formats.py
@@ -1,4 +1,4 @@
-"""The platform's forms, read and written; what is not to be read gives a clear answer."""
+"""The platform's formats, parsed and written; invalid input gives a clear answer."""
 
 import json
 
@@ -55,12 +55,12 @@
     assert row.single_version
 
 
-def test_nonsense_is_refused_with_a_reason() -> None:
+def test_an_invalid_configuration_is_rejected_with_a_reason() -> None:
     for spec in (None, [], {}, {"version": 1}, {"version": 1, "routes": [{}], "services": []}):
         assert isinstance(route_table(spec), Err)
 
 
-def test_engine_entries_that_are_no_entries_are_left_out() -> None:
+def test_invalid_engine_entries_are_left_out() -> None:
     good = {**ENTRY, "state": "draining"}
     entry = engine_entries.engine_entry("e", good)
     assert entry is not None and entry.state is EngineState.LEAVING
@@ -69,7 +69,7 @@
     assert engine_orders.engine_report(b"{]") is None
 
 
-def test_an_engine_says_that_it_may_be_taken_away_and_when_it_leaves() -> None:
+def test_an_engine_entry_says_whether_it_is_spot_and_when_it_leaves() -> None:
     steady = engine_entries.engine_entry("e", ENTRY)
     assert steady is not None and not steady.is_spot and steady.leaves_seconds is None
     leaves = {**ENTRY, "state": "draining", "use_spot": True, "leaves_ms": 2500}
@@ -80,13 +80,13 @@
         assert found is not None and found.leaves_seconds is None
 
 
-def test_an_order_of_engines_names_its_kind_only_where_it_may_be_taken_away() -> None:
+def test_an_order_of_engines_names_its_kind_only_if_it_is_spot() -> None:
     steady = json.loads(scale_body(ScaleOrder("llm", "z", 3, False)))
     assert steady == {"service": "llm", "zone": "z", "desired": 3}
     assert json.loads(scale_body(ScaleOrder("llm", "z", 3, True)))["use_spot"] is True
 
 
-def test_events_are_read_whole_whatever_the_pieces() -> None:
+def test_events_are_parsed_completely_for_any_split_of_the_stream() -> None:
     stream = b"id: 1\ndata: a\n\nweight-versions: 7\nid: 2\ndata: b\ndata: c\n\nid: 3\nda"
     whole = list(EventReader().feed(stream))
     reader = EventReader()
@@ -99,7 +99,7 @@
     assert reader.has_rest
 
 
-def test_hop_headers_stay_and_own_ones_are_set() -> None:
+def test_hop_headers_are_dropped_and_own_ones_are_set() -> None:
     received = (("connection", "x"), ("request-id", "q"), ("request-deadline", "9"), ("a", "b"))
     sent = headers.forwarded_headers(received, "e1", 0.25)
     assert sent == (
@@ -110,7 +110,7 @@
     )
 
 
-def test_tokens_are_guessed_from_the_hint_or_the_most() -> None:
+def test_tokens_are_estimated_from_the_hint_or_the_maximum() -> None:
     most = Sample(headers=[Header("Token-Count", "10,400")])
     hinted = Sample(headers=[Header("Token-Count", "10,400"), Header("Length-Hint", "50")])
     assert step_format.expected_tokens(most) == 400.0
@@ -118,7 +118,7 @@
     assert step_format.expected_tokens(Sample(tokens=7)) == 7.0
 
 
-def test_a_submitted_step_is_read_and_bad_ones_refused() -> None:
+def test_a_submitted_step_is_parsed_and_invalid_ones_are_rejected() -> None:
     body = {"step": 1, "model": "m", "min_version": 6, "desired": 2}
     item = {"id": "i", "path": "/p/1", "headers": {"Model": "m"}, "body": "q83v", "tokens": 9}
     read = step_format.read_step("s", "h", "/p/", json.dumps({**body, "requests": [item]}).encode())
@@ -131,7 +131,7 @@
         assert isinstance(step_format.read_step("s", "h", "/p/", bad), Err)
 
 
-def test_results_are_written_as_trainers_read_them() -> None:
+def test_results_are_written_in_the_trainers_format() -> None:
     good = SampleResult(id="a", succeeded=True, text="x\ny", versions=[6, 7], score="sig")
     page = ResultsPage(total=5, next_position=3, results=[bytes(good), bytes(SampleResult(id="b"))])
     written = json.loads(step_format.write_page(page))
--- a/src/pondtiller/platform/tests/test_mirror.py
+++ b/src/pondtiller/platform/tests/test_mirror.py
@@ -1,4 +1,4 @@
-"""A mirror tells what the store told, under the store's revisions, and never an older state."""
+"""A mirror returns the store's contents under its revisions, and never an older state."""
 
 from pondtiller.platform.mirror import (
     MAX_CHANGES,
@@ -38,7 +38,7 @@
     assert set(kind.objects) == {"b", "c"}
 
 
-def test_a_reader_that_knows_more_is_told_nothing_older() -> None:
+def test_a_newer_reader_gets_nothing_older() -> None:
     kind = MirroredKind()
     kind.replace([], 10)
     kind.change([put("a", 11), put("a", 14), gone("b", 9)], 15)
@@ -48,7 +48,7 @@
     assert (told(ahead), ahead.at) == ([], 40)
 
 
-def test_changes_that_are_no_longer_kept_are_listed_anew() -> None:
+def test_a_reader_from_before_the_kept_changes_must_list_again() -> None:
     kind = MirroredKind()
     kind.replace([], 10)
     assert kind.since(9).status == MirrorStatus.HISTORY_GONE
--- a/src/pondtiller/platform/tests/test_object_client.py
+++ b/src/pondtiller/platform/tests/test_object_client.py
@@ -1,4 +1,4 @@
-"""Listings of the store that come in several pages."""
+"""Listings of the store that consist of several pages."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class StoreChangedBetweenPages(StandInStore):
-    """A store that changes right after it has answered the first page of a listing."""
+    """A store that changes right after answering the first page of a listing."""
 
     def __init__(self, change: Callable[[StandInStore], None]) -> None:
         super().__init__()
@@ -50,12 +50,12 @@
     assert contents(listing) == {"a": "new", "b": "old", "c": "old"}
 
 
-def test_an_object_that_ends_between_two_pages_of_a_listing_is_not_listed() -> None:
+def test_an_object_removed_between_two_pages_of_a_listing_is_not_listed() -> None:
     listing, _client = listed(lambda store: store.remove("kind", "b"))
     assert contents(listing) == {"a": "old", "c": "old"}
 
 
-def test_a_listing_without_changes_between_its_pages_costs_no_further_call() -> None:
+def test_a_listing_without_changes_between_its_pages_takes_no_further_call() -> None:
     listing, client = listed(lambda _store: None)
     assert contents(listing) == {"a": "old", "b": "old", "c": "old"}
     assert client.calls == {"list": 2}
--- a/src/pondtiller/platform/tests/test_objects.py
+++ b/src/pondtiller/platform/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the store that gateways write: what is written is read again, and bad ones are not."""
+"""Objects that gateways write to the store: written ones can be read, invalid ones are not."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 SUSPECT = Suspect("c", frozenset({"e0@1", "e1@1"}), 1234.5, 3, 99.0, 2)
 
 
-def test_what_is_known_of_a_content_is_read_as_it_was_written() -> None:
+def test_the_object_of_a_content_survives_writing_and_reading() -> None:
     spec = objects.suspect_spec(SUSPECT)
     assert objects.read_suspect(StoreObject("c", 1, spec)) == SUSPECT
 
@@ -23,6 +23,6 @@
 
 
 @pytest.mark.parametrize("given", [None, "two", [], {}])
-def test_a_content_whose_trials_cannot_be_read_is_left_as_it_is(given: object) -> None:
+def test_a_content_with_invalid_trials_is_not_parsed(given: object) -> None:
     spec = {**objects.suspect_spec(SUSPECT), "inconclusive": given}
     assert objects.read_suspect(StoreObject("c", 1, spec)) is None
--- a/src/pondtiller/platform/tests/test_requests.py
+++ b/src/pondtiller/platform/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""What a request says is decoded once, and nothing else is made of it."""
+"""A request's contents are decoded once, without interpretation."""
 
 import math
 
@@ -37,18 +37,18 @@
     )
 
 
-def test_what_is_not_said_is_empty() -> None:
+def test_missing_parts_are_empty() -> None:
     request = read()
     assert (request.identifier, request.host, request.step) == ("", "", "")
     assert request.seconds is None and request.key_digest is None
 
 
 @pytest.mark.parametrize("text", ["soon", "", "1,5"])
-def test_a_wait_that_is_no_number_is_as_none(text: str) -> None:
+def test_a_wait_that_is_no_number_counts_as_missing(text: str) -> None:
     assert read("/p", ("request-deadline", text)).seconds is None
 
 
-def test_a_wait_that_is_no_sensible_number_stays_as_it_is() -> None:
+def test_an_implausible_wait_is_kept() -> None:
     assert read("/p", ("request-deadline", "-5")).seconds == -0.005
     assert read("/p", ("request-deadline", "inf")).seconds == math.inf
     assert math.isnan(read("/p", ("request-deadline", "nan")).seconds or 0.0)
