--- a/src/pondtiller/gateway/engines/suspect_sharing.py
+++ b/src/pondtiller/gateway/engines/suspect_sharing.py
@@ -129,21 +129,21 @@
         await self._changed()
 
     async def _apply(self, found: StoreObject) -> None:
-        told = objects.read_suspect(found)
-        if told is None:
+        reported = objects.read_suspect(found)
+        if reported is None:
             # Left unchanged: a later version of this program may have written it.
             logs.decision("suspect_unreadable", name=found.name, revision=found.revision)
             return
-        self._kept_until[told.content] = told.until
-        if not told.ends:
-            self._suspects.unshared.pop(told.content, None)
-        if clock.wall() >= told.until or not await self._suspects.merge_report(told):
+        self._kept_until[reported.content] = reported.until
+        if not reported.ends:
+            self._suspects.unshared.pop(reported.content, None)
+        if clock.wall() >= reported.until or not await self._suspects.merge_report(reported):
             return
         logs.decision(
             "content_told",
-            content=abbreviate_content(told.content),
-            ends=len(told.ends),
-            is_held=told.is_quarantined,
+            content=abbreviate_content(reported.content),
+            ends=len(reported.ends),
+            is_held=reported.is_quarantined,
             revision=found.revision,
         )
 
@@ -215,13 +215,13 @@
             Returns the changed content from all that is known of it; None for no change.
         """
         found = await self._store.read(names.SUSPECTS, content)
-        told = objects.read_suspect(found) if found is not None else None
-        if found is None or told is None or not told.ends:
+        reported = objects.read_suspect(found) if found is not None else None
+        if found is None or reported is None or not reported.ends:
             return False
         if not self._suspects.is_quarantined(content):
             # An engine has answered it here meanwhile, so the stored object is outdated.
             return False
-        self._suspects.quarantine.merge_report(told)
+        self._suspects.quarantine.merge_report(reported)
         changed = change(self._suspects.quarantine.suspects[content])
         if changed is None:
             return False
@@ -291,13 +291,13 @@
 
     async def _renew(self, found: StoreObject) -> bool:
         """Merge the known state into an object; without crashes if the content was answered."""
-        told = objects.read_suspect(found)
+        reported = objects.read_suspect(found)
         quarantine = self._suspects.quarantine
-        if told is not None and told.ends and found.name in quarantine.suspects:
-            quarantine.merge_report(told)
+        if reported is not None and reported.ends and found.name in quarantine.suspects:
+            quarantine.merge_report(reported)
         cleared = Suspect(found.name, frozenset(), clock.wall() + CLEARED_SECONDS)
         renewed = quarantine.suspects.get(found.name, cleared)
-        if told is not None and renewed._replace(until=told.until) == told:
+        if reported is not None and renewed._replace(until=reported.until) == reported:
             return True
         outcome = await self._store.replace(
             names.SUSPECTS, found.name, found.revision, objects.suspect_spec(renewed)
--- a/src/pondtiller/gateway/engines/suspects.py
+++ b/src/pondtiller/gateway/engines/suspects.py
@@ -112,18 +112,18 @@
         self._log(suspect, engine)
         await self.has_unshared.set()
 
-    async def merge_report(self, told: Suspect) -> bool:
+    async def merge_report(self, reported: Suspect) -> bool:
         """Merge the shared report of all gateways about a content; return whether it is news.
 
         A content that was answered here recently is cleared for all gateways: the reporting gateway
         had no answer.
         """
-        if told.ends and self.quarantine.was_answered(told.content, clock.monotonic()):
-            self.unshared[told.content] = clock.monotonic()
+        if reported.ends and self.quarantine.was_answered(reported.content, clock.monotonic()):
+            self.unshared[reported.content] = clock.monotonic()
             await self.has_unshared.set()
-            logs.decision("content_cleared", content=abbreviate_content(told.content))
+            logs.decision("content_cleared", content=abbreviate_content(reported.content))
             return False
-        return self.quarantine.merge_report(told)
+        return self.quarantine.merge_report(reported)
 
     async def note_answer(self, content: str) -> None:
         """Record that an engine answered a content."""
--- a/src/pondtiller/gateway/leader/unfinished_texts.py
+++ b/src/pondtiller/gateway/leader/unfinished_texts.py
@@ -69,9 +69,9 @@
         links = self._leadership.member_links()
         chosen = links[: self._leadership.losses + 1]
         works = self._scheduler.work.values()
-        for news in self._saver.updates_for(chosen, works, now, is_last):
-            encoded = encode_message(SaveProgress(epoch=self._epoch, samples=news.samples))
-            for number in news.links:
+        for update in self._saver.updates_for(chosen, works, now, is_last):
+            encoded = encode_message(SaveProgress(epoch=self._epoch, samples=update.samples))
+            for number in update.links:
                 link = self._leadership.replicas.link(number)
                 if link is not None:
                     await link.send(encoded)
--- a/src/pondtiller/peers/usage_teller.py
+++ b/src/pondtiller/peers/usage_teller.py
@@ -107,8 +107,8 @@
         self._epoch = epoch
         self._meter.note_reported(epoch, rows)
         if agreed_now is not None:
-            told = window_of(complete_until - self._delay, self._meter.window_seconds)
-            self._window = max(self._window, told)
+            reported = window_of(complete_until - self._delay, self._meter.window_seconds)
+            self._window = max(self._window, reported)
 
     def _learn(self, answer: UseTaken, asked_at: float, answered_at: float) -> None:
         if answer.agreed_seconds:
--- a/src/pondtiller/routes/quarantine.py
+++ b/src/pondtiller/routes/quarantine.py
@@ -208,18 +208,18 @@
         """Return whether a content was answered here so recently that crashes are ignored."""
         return now < self._answered.get(content, float("-inf")) + ANSWERED_SECONDS
 
-    def merge_report(self, told: Suspect) -> bool:
+    def merge_report(self, reported: Suspect) -> bool:
         """Merge the shared report of all daemons about a content; return whether it is news.
 
         A report without crashes means that the content was answered somewhere.
         """
-        before = self.suspects.get(told.content)
-        if not told.ends:
-            return self.suspects.pop(told.content, None) is not None
+        before = self.suspects.get(reported.content)
+        if not reported.ends:
+            return self.suspects.pop(reported.content, None) is not None
         if before is None:
-            self._keep(told)
+            self._keep(reported)
             return True
-        merged = before.merged_with(told)
+        merged = before.merged_with(reported)
         self._keep(merged)
         return merged != before
 
