--- a/src/pondtiller/gateway/tests/test_leader_store.py
+++ b/src/pondtiller/gateway/tests/test_leader_store.py
@@ -178,7 +178,7 @@
 def test_a_rejecting_store_is_called_rarely_and_again_once_it_serves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(relayed_store, "OWN_RETRY_SECONDS", 0.3)
+    monkeypatch.setattr(relayed_store, "DIRECT_RETRY_SECONDS", 0.3)
     calls: list[int] = []
 
     async def act(store: FakeStore, steward: VersionSteward) -> None:
