--- a/src/pondtiller/cli/check.py
+++ b/src/pondtiller/cli/check.py
@@ -1,6 +1,6 @@
-"""`pondtiller check`: says what is wrong with settings, tables and deployments.
+"""`pondtiller check`: reports problems of settings, tables and deployments.
 
-Reads files only: it asks no daemon and changes nothing.
+Only reads files: contacts no daemon and changes nothing.
 """
 
 import tomllib
@@ -25,7 +25,7 @@
     arguments = [argument("files", "Files to check.", multiple=True)]
 
     def handle(self) -> int:
-        """Print each problem; exit 2 where there is one."""
+        """Print each problem; exit 2 if there are any."""
         problems = [problem for name in self.argument("files") for problem in check_file(name)]
         for problem in problems:
             self.line_error(problem.describe(), style="error")
@@ -36,7 +36,7 @@
 
 
 def check_file(name: str) -> list[Problem]:
-    """Return what is wrong with one file, by its ending and content."""
+    """Return the problems of one file, by its suffix and content."""
     path = Path(name)
     if path.suffix == ".csv":
         return _check_table(path)
--- a/src/pondtiller/cli/demo.py
+++ b/src/pondtiller/cli/demo.py
@@ -1,7 +1,7 @@
-"""`pondtiller demo`: everything in one process, a burst, and a verdict.
+"""`pondtiller demo`: everything in one process, a burst of requests, and a verdict.
 
-Prints what `serve.demo.run` reports; ends with an error where a property is broken or a request
-stays without an answer.
+Prints the report of `serve.demo.run`; fails if a property is violated or a request remains
+unanswered.
 """
 
 import curio
@@ -38,7 +38,7 @@
     ]
 
     def handle(self) -> int:
-        """Run the demo; exit 0 only where every property holds."""
+        """Run the demo; exit 0 only if every property holds."""
         seconds = read_number(self.option("seconds"), 2, 86_400)
         if isinstance(seconds, Err):
             return bad_option(self, "seconds", seconds.err_value)
--- a/src/pondtiller/cli/deployed.py
+++ b/src/pondtiller/cli/deployed.py
@@ -1,7 +1,7 @@
 """`pondtiller gateway` and `pondtiller replica`: the two programs of a deployment.
 
-Finds the settings file by option or environment; `programs` checks it and runs the process until it
-is stopped.
+Finds the settings file by option or environment; `programs` validates it and runs the process until
+it is stopped.
 """
 
 import os
--- a/src/pondtiller/cli/emulate.py
+++ b/src/pondtiller/cli/emulate.py
@@ -1,7 +1,7 @@
 """`pondtiller emulate`: the stand-ins of a deployment on loopback, in one process.
 
-For daemons that are started by hand with `pondtiller serve`; `demo` starts both. Everything is lost
-when it ends.
+For daemons started by hand with `pondtiller serve`; `demo` starts both. All state is lost when it
+ends.
 """
 
 import sys
--- a/src/pondtiller/cli/explain.py
+++ b/src/pondtiller/cli/explain.py
@@ -1,7 +1,7 @@
-"""`pondtiller explain`: what the logs of many machines say of one identifier.
+"""`pondtiller explain`: what the logs of many machines contain about one identifier.
 
-Reads log files only, also packed or broken ones, and asks no process. Lines are ordered by the time
-of day of the machine that wrote each, so lines of different machines may stand in a wrong order by
+Reads log files only, even compressed or damaged ones, and contacts no process. Lines are ordered by
+the wall clock of the machine that wrote each, so lines of different machines may be out of order by
 as much as their clocks differ.
 """
 
@@ -63,12 +63,12 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """The lines of logs that concern an identifier, in order of time.
+    """The log lines about an identifier, ordered by time.
 
     Attributes
     ----------
     deciding
-        The line that says how it ended; None where no line concerns it.
+        The line that shows how it ended; None if there are no lines.
     """
 
     lines: tuple[LogLine, ...]
@@ -76,7 +76,7 @@
 
 
 def parse_line(text: str, place: str) -> LogLine | None:
-    """Read one line; None where it is no decision line."""
+    """Parse one line; None if it is not a decision line."""
     time = TIME.search(text)
     if time is None or "event=" not in text:
         return None
@@ -92,7 +92,7 @@
 
 
 def collect(identifier: str, lines: Iterable[LogLine]) -> History:
-    """Return the lines that concern an identifier, in order of time, and the deciding one."""
+    """Return the lines about an identifier, ordered by time, and the deciding one."""
     found = [line for line in lines if _concerns(line, identifier)]
     found.sort(key=lambda line: line.at)
     return History(tuple(found), _deciding(found))
@@ -111,7 +111,7 @@
 
 
 def read_lines(path: Path) -> Iterator[LogLine]:
-    """Read a log, also one that is packed or has broken lines."""
+    """Read a log, even if it is compressed or has damaged lines."""
     opener = gzip.open if path.suffix == GZIP_SUFFIX else open
     with opener(path, "rb") as stream:
         for data in stream:
@@ -121,7 +121,7 @@
 
 
 def find_logs(path: Path) -> list[Path]:
-    """Return a file itself, and of a folder, as `pondtiller soak` leaves one, all logs in it."""
+    """Return the file itself, or all logs in a folder, such as one left by `pondtiller soak`."""
     if not path.is_dir():
         return [path]
     return sorted(each for each in path.iterdir() if LOG_NAME.search(each.name))
--- a/src/pondtiller/cli/serve.py
+++ b/src/pondtiller/cli/serve.py
@@ -1,7 +1,7 @@
 """`pondtiller serve`: one daemon process.
 
-Reads the settings file and flags, and turns the operating system's request to stop into a planned
-one. The daemon is `serve.daemon.process`.
+Reads the settings file and flags, and converts the operating system's stop signal to a graceful
+stop. The daemon is `serve.daemon.process`.
 """
 
 import tomllib
--- a/src/pondtiller/cli/simulate.py
+++ b/src/pondtiller/cli/simulate.py
@@ -1,7 +1,7 @@
 """`pondtiller simulate`: a named scenario on the virtual clock, for one seed or many.
 
-Prints measures and violations. A seed gives the same bytes on every machine, so a seed that shows a
-fault is enough to find it again.
+Prints measures and violations. A seed gives the same output on every machine, so a seed that shows
+a fault is enough to reproduce it.
 """
 
 from cleo.commands.command import Command
@@ -21,7 +21,7 @@
 from pondtiller.serve.simulation.scenarios import SCENARIOS
 
 MAX_SEEDS = 100_000
-"""Of one call. Chosen, not measured: more is a mistyped range."""
+"""Maximum number of seeds of one call; more is likely a mistyped range."""
 
 
 class SimulateCommand(Command):
@@ -94,7 +94,7 @@
 
 
 def read_seeds(text: str) -> Result[range, str]:
-    """Read `A` or `A..B`."""
+    """Parse `A` or `A..B`."""
     first, separator, last = text.partition("..")
     last = last if separator else first
     if not first.isdecimal() or not last.isdecimal():
--- a/src/pondtiller/cli/soak.py
+++ b/src/pondtiller/cli/soak.py
@@ -1,7 +1,7 @@
-"""`pondtiller soak`: the real programs as processes under drawn faults.
+"""`pondtiller soak`: the real programs as processes under randomly drawn faults.
 
-Reads the options and prints the report; faults, callers and promises are `soak`'s. The seed draws
-the faults, not the timing of processes: unlike `simulate`, a second run may differ.
+Reads the options and prints the report; faults, callers and checks are in `soak`. The seed draws
+the faults, not the timing of processes: unlike with `simulate`, a second run may differ.
 """
 
 import json
@@ -33,7 +33,7 @@
     ]
 
     def handle(self) -> int:
-        """Play one seed; exit 1 where a promise was broken."""
+        """Play one seed; exit 1 if a promise was broken."""
         minutes = read_number(self.option("minutes") or "1", 0.1, 120)
         if isinstance(minutes, Err):
             return bad_option(self, "minutes", minutes.err_value)
--- a/src/pondtiller/cli/table.py
+++ b/src/pondtiller/cli/table.py
@@ -1,4 +1,4 @@
-"""`pondtiller table ...`: operators see and edit the table.
+"""`pondtiller table ...`: commands for operators to view and edit the table.
 
 Commands only: `table.editor` decides each step of an edit, `cli.table_edits` makes the calls.
 """
@@ -174,7 +174,7 @@
     options = [platform_option()]
 
     def handle(self) -> int:
-        """Print one line for each changed cell."""
+        """Print one line per changed cell."""
         return run_on_platform(self, self._run)
 
     async def _run(self, platform: Address) -> int:
--- a/src/pondtiller/cli/table_edits.py
+++ b/src/pondtiller/cli/table_edits.py
@@ -1,6 +1,6 @@
-"""What commands on the operators' table share: the object service, and the way of an edit to it.
+"""Shared parts of the commands on the operators' table: the object service, and submitting an edit.
 
-Relies on `table/editor.py`, which decides each next step of an edit; the calls are made here.
+Uses `table/editor.py`, which decides each next step of an edit; the calls are made here.
 """
 
 import getpass
@@ -31,7 +31,7 @@
 from pondtiller.table.sheet import DOCUMENT_NAME, CellChange, Edit, RefusalReason, Sheet
 
 RETRY_SECONDS = 1.0
-"""Pause before the object service is asked again. Chosen, not measured."""
+"""Pause before the object service is called again."""
 
 Say = Callable[[str], None]
 
@@ -55,7 +55,7 @@
 
 
 async def read_table(platform: Address) -> Sheet:
-    """Return the table as the object service holds it now."""
+    """Return the table as the object service has it now."""
     for stored in await read_objects(HttpClient(), platform):
         if stored.name == DOCUMENT_NAME:
             return read_sheet(stored.body)
@@ -63,7 +63,7 @@
 
 
 async def submit(command: Command, platform: Address, changes: tuple[CellChange, ...]) -> int:
-    """Carry an edit to its end, say how it ended and return the exit code."""
+    """Execute an edit to its end, print how it ended and return the exit code."""
     edit = Edit(
         edit_id=uuid.uuid4().hex,
         author=getpass.getuser(),
@@ -93,7 +93,7 @@
 
 
 async def edit_table(platform: Address, edit: Edit, say: Say) -> EditOutcome:
-    """Carry out the editor's dialogue with the object service."""
+    """Execute the editor's protocol with the object service."""
     client = HttpClient()
     editor = TableEditor(edit)
     while True:
--- a/src/pondtiller/cli/table_evacuate.py
+++ b/src/pondtiller/cli/table_evacuate.py
@@ -1,7 +1,7 @@
-"""`pondtiller table evacuate`: nothing new to a zone's engines on the platform, until ended.
+"""`pondtiller table evacuate`: no new work to a zone's engines on the platform, until ended.
 
 Writes or removes one object in the platform's store and does not wait until gateways follow it
-(`store.evacuation_bounds` says how long that takes at most). Giving it twice changes nothing.
+(`store.evacuation_bounds` has the longest delay). Repeating it changes nothing.
 """
 
 import curio
@@ -23,7 +23,7 @@
 from pondtiller.process.problems import Problem
 
 AS_WANTED = {True: PutOutcome.MISSING, False: PutOutcome.CONFLICT}
-"""What a call that changes nothing comes to, by whether it ends an evacuation."""
+"""Outcome of a call that changes nothing, by whether it ends an evacuation."""
 
 
 class TableEvacuateCommand(Command):
@@ -38,7 +38,7 @@
     ]
 
     def handle(self) -> int:
-        """Write or remove the zone's object; doing so twice is no fault."""
+        """Write or remove the zone's object; repeating it is not an error."""
         address = read_address(self.option("store") or "")
         if isinstance(address, Err):
             return bad_option(self, "store", address.err_value)
--- a/src/pondtiller/cli/table_key.py
+++ b/src/pondtiller/cli/table_key.py
@@ -1,6 +1,7 @@
-"""`pondtiller table key`: a tenant's keys, of which the table holds digests only.
+"""`pondtiller table key`: a tenant's keys, of which the table has digests only.
 
-A key is read from a file or standard input, never from the command line, and is written nowhere.
+A key is read from a file or standard input, never from the command line, and is not written
+anywhere.
 """
 
 import sys
@@ -77,9 +78,9 @@
 
 
 def read_key(file: str | None) -> Result[str, str]:
-    """Return the key that a file or standard input holds, without the blanks around it.
+    """Return the key in a file or on standard input, without surrounding blanks.
 
-    A key is never an argument: other users of the machine see those.
+    A key is never an argument, since other users of the machine can see arguments.
     """
     try:
         text = Path(file).read_text(encoding="utf-8") if file else sys.stdin.read()
--- a/src/pondtiller/cli/table_status.py
+++ b/src/pondtiller/cli/table_status.py
@@ -1,6 +1,6 @@
-"""`pondtiller table status`: the table in force at one gateway, filled with status.
+"""`pondtiller table status`: the table in force at one gateway, with status.
 
-Asks that gateway's readiness address and prints its answer; counts of other gateways are not in it.
+Calls that gateway's readiness address and prints its answer, without the counts of other gateways.
 For the daemons of `serve` there is `table show`.
 """
 
@@ -24,7 +24,7 @@
     options = [option("gateway", "g", "Readiness address of a gateway, HOST:PORT.", flag=False)]
 
     def handle(self) -> int:
-        """Ask the gateway and print what it says, aligned."""
+        """Call the gateway and print its answer, aligned."""
         address = read_address(self.option("gateway") or "")
         if isinstance(address, Err):
             return bad_option(self, "gateway", address.err_value)
--- a/src/pondtiller/cli/table_view.py
+++ b/src/pondtiller/cli/table_view.py
@@ -1,4 +1,4 @@
-"""The table as people see it: cells with the status that the zones report.
+"""The table for display: cells with the status that the zones report.
 
 For the daemons of `serve`, whose status objects are read from the platform; a gateway's own view is
 `cli.table_status`. Formats only.
@@ -20,7 +20,7 @@
 
 
 class PlatformUnavailableError(Exception):
-    """The object service did not answer, or with something that is no list."""
+    """The object service did not answer, or not with a list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableView:
-    """Table and status at one time."""
+    """Table and status at one moment."""
 
     revision: int
     sheet: Sheet
--- a/src/pondtiller/cli/tests/test_deployed.py
+++ b/src/pondtiller/cli/tests/test_deployed.py
@@ -43,7 +43,7 @@
     assert f"{path}: {key}: " in tester.io.fetch_error()
 
 
-def test_a_missing_file_and_no_file_are_said_so(
+def test_a_missing_file_and_a_missing_option_are_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("PONDTILLER_SETTINGS", raising=False)
--- a/src/pondtiller/cli/tests/test_explain.py
+++ b/src/pondtiller/cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Histories from logs: order, the deciding line, packed and broken files, unknown identifiers."""
+"""Histories from logs: order, the deciding line, compressed and damaged files."""
 
 import gzip
 from pathlib import Path
@@ -42,7 +42,7 @@
     assert "e2:broken(a b)" in shown.splitlines()[-1]
 
 
-def test_an_unknown_identifier_and_a_missing_file_are_said_so(tmp_path: Path) -> None:
+def test_an_unknown_identifier_and_a_missing_file_are_reported(tmp_path: Path) -> None:
     assert run("none", *logs(tmp_path)).status_code == 1
     assert run("s1", tmp_path / "missing").status_code == 2
 
@@ -52,7 +52,7 @@
     assert line is not None and line.fields["reason"] == 'say "no"'
 
 
-def test_a_folder_stands_for_the_logs_in_it(tmp_path: Path) -> None:
+def test_a_folder_selects_the_logs_in_it(tmp_path: Path) -> None:
     files = logs(tmp_path)
     (tmp_path / "report.json").write_text('{"sample": "t=1.0 event=sample_listed sample=s1 "}')
     (tmp_path / "disk0").mkdir()
@@ -61,5 +61,5 @@
     assert by_folder.io.fetch_output() == whole.io.fetch_output()
 
 
-def test_a_folder_without_logs_tells_that_the_identifier_is_unknown(tmp_path: Path) -> None:
+def test_a_folder_without_logs_reports_an_unknown_identifier(tmp_path: Path) -> None:
     assert run("s1", tmp_path).status_code == 1
--- a/src/pondtiller/cli/tests/test_processes.py
+++ b/src/pondtiller/cli/tests/test_processes.py
@@ -111,7 +111,7 @@
             time.sleep(0.1)
 
 
-def test_request_goes_from_one_end_to_the_other(daemons):
+def test_a_request_passes_end_to_end(daemons):
     urls, _, _ = daemons
     for url in urls:
         body = {"model": "quote", "prompt": "a bracket", "max_tokens": 24}
@@ -119,7 +119,7 @@
         assert answer["choices"][0]["text"] == expected_answer("a bracket", 24)
 
 
-def test_table_edit_is_in_force_on_every_daemon(daemons, platform):
+def test_a_table_edit_takes_effect_on_every_daemon(daemons, platform):
     urls, _, _ = daemons
     before = run("table", "export", "--platform", platform)
     assert "service,quote,quote-api" in before
@@ -165,7 +165,7 @@
         assert answer is None or answer.text == expected_answer(request.prompt, 8)
 
 
-def test_killed_daemon_comes_back_with_its_journal(daemons, platform):
+def test_a_killed_daemon_restarts_from_its_journal(daemons, platform):
     urls, started, folder = daemons
     started[2].kill()
     started[2].wait(30)
@@ -177,7 +177,7 @@
     assert again.json()["choices"][0]["text"] == expected_answer("up 0", 4)
 
 
-def test_object_service_that_does_not_answer_is_said(tmp_path):
+def test_an_unanswering_object_service_is_reported(tmp_path):
     reserved = ReservedPorts()
     said = run("table", "show", "--platform", f"127.0.0.1:{reserved.port()}", code=3)
     reserved.close()
--- a/src/pondtiller/cli/tests/test_table_evacuate.py
+++ b/src/pondtiller/cli/tests/test_table_evacuate.py
@@ -1,4 +1,4 @@
-"""Evacuations from the command line, written into a store on a socket of its own."""
+"""Evacuations from the command line, written to a store on its own socket."""
 
 import curio
 from cleo.testers.command_tester import CommandTester
@@ -10,7 +10,7 @@
 from pondtiller.standins.store import StandInStore
 
 
-def test_an_evacuation_is_written_and_taken_back_once() -> None:
+def test_an_evacuation_is_written_and_revoked_once() -> None:
     async def main() -> None:
         store = StandInStore()
         serving = await curio.spawn(store.serve)
@@ -33,7 +33,7 @@
     assert "give it again" in tester.io.fetch_error()
 
 
-def test_bad_input_is_named() -> None:
+def test_bad_input_is_reported() -> None:
     tester = CommandTester(build().find("table evacuate"))
     assert tester.execute("b --store nowhere") == 2
     assert tester.execute("a/b --store 127.0.0.1:1") == 2
--- a/src/pondtiller/cli/tests/test_table_key.py
+++ b/src/pondtiller/cli/tests/test_table_key.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "  \n", "two keys"])
-def test_what_is_not_one_key_is_refused(tmp_path: Path, text: str) -> None:
+def test_input_that_is_not_a_single_key_is_refused(tmp_path: Path, text: str) -> None:
     file = tmp_path / "key"
     file.write_text(text)
     assert isinstance(read_key(str(file)), Err)
