--- a/src/pondtiller/coordination/rate_grants.py
+++ b/src/pondtiller/coordination/rate_grants.py
@@ -66,7 +66,7 @@
         self._latest[holder] = sequence
         return True
 
-    def grants_anew(self, terms: RateTerms, now: float) -> bool:
+    def may_grant_more(self, terms: RateTerms, now: float) -> bool:
         """Return whether all grants of earlier leaders have expired or are known here."""
         return now >= self._began_at + terms.takeover_wait_seconds
 
@@ -89,7 +89,7 @@
         self, book: _Book, holder: HolderKey, demand: RateDemand, terms: RateTerms, now: float
     ) -> int:
         wanted = min(demand.wanted, terms.most_each, terms.total)
-        if not self.grants_anew(terms, now):
+        if not self.may_grant_more(terms, now):
             return min(wanted, lowered(demand.holding, demand.holding_of, terms.total))
         free = max(0, terms.total - book.others(holder, now))
         if any(each != holder for each in book.is_unmet(now)):
--- a/src/pondtiller/coordination/shares.py
+++ b/src/pondtiller/coordination/shares.py
@@ -109,7 +109,7 @@
     request: int
     wanted: int
     in_use: int
-    heard_at: float
+    received_at: float
     lease_seconds: float
     answered: bool = False
 
@@ -247,7 +247,7 @@
 
     def _forget_silent(self, now: float) -> None:
         for holder, demand in list(self._demands.items()):
-            if now - demand.heard_at > demand.lease_seconds:
+            if now - demand.received_at > demand.lease_seconds:
                 del self._demands[holder]
         for holder, reservation in list(self._reserved.items()):
             if reservation.until <= now:
--- a/src/pondtiller/coordination/tests/test_rate_shares.py
+++ b/src/pondtiller/coordination/tests/test_rate_shares.py
@@ -197,7 +197,7 @@
 
 
 def test_a_successor_that_grants_at_once_exceeds_the_rate(monkeypatch):
-    assert broken_by(monkeypatch, RateGrantor, "grants_anew", lambda *_: True)
+    assert broken_by(monkeypatch, RateGrantor, "may_grant_more", lambda *_: True)
 
 
 def test_shares_regranted_without_a_rest_exceed_the_rate(monkeypatch):
--- a/src/pondtiller/gateway/callers/streams.py
+++ b/src/pondtiller/gateway/callers/streams.py
@@ -56,7 +56,7 @@
     ----------
     service
         Service whose engines may get it.
-    is_begun
+    has_started
         Whether the caller has received a part of it.
     last_event
         Number of the last event received; 0 before the first.
@@ -66,7 +66,7 @@
     request: ForwardedRequest
     route: RouteRow
     service: str
-    is_begun: bool = False
+    has_started: bool = False
     last_event: int = 0
     attempts: RequestAttempts = field(default_factory=RequestAttempts)
 
@@ -119,7 +119,7 @@
             step, failure = await self._next_attempt(stream)
         if failure is None:
             return
-        if stream.is_begun:
+        if stream.has_started:
             # The caller must not mistake the received part for the whole.
             raise ConnectionLostError("the stream could not be continued")
         await stream.exchange.respond(failure_response(failure))
@@ -174,7 +174,7 @@
                 await self._pool.give_back(connection)
 
     def _judge(self, stream: Stream, end: AttemptEnd) -> StreamStep:
-        return _step(judge_stream(end, stream.route.may_resume, stream.is_begun))
+        return _step(judge_stream(end, stream.route.may_resume, stream.has_started))
 
     async def _pass_on(
         self, stream: Stream, engine: Engine, connection: EngineConnection
@@ -186,8 +186,8 @@
         self._forwarder.zones.note_answer(engine)
         if not 200 <= head.status < 300:
             return await self._refused(stream, connection, head)
-        if not stream.is_begun:
-            stream.is_begun = True
+        if not stream.has_started:
+            stream.has_started = True
             await exchange.start_response(head.status, returned_headers(head.headers))
         await self._pass_events(stream, connection)
         await self._forwarder.suspects.note_answer(request.content)
--- a/src/pondtiller/gateway/engines/suspect_sharing.py
+++ b/src/pondtiller/gateway/engines/suspect_sharing.py
@@ -261,12 +261,12 @@
         # Removed first, so that a change during the write is shared again.
         self._suspects.unshared.pop(content, None)
         try:
-            is_told = await self._write(content)
+            is_shared = await self._write(content)
         except StoreCallError as error:
             logs.decision("content_untold", content=abbreviate_content(content), reason=str(error))
-            is_told = False
+            is_shared = False
         pause = PAUSE_SECONDS
-        if is_told:
+        if is_shared:
             self._retry_seconds = RETRY_SECONDS
         else:
             pause = self._retry_seconds
--- a/src/pondtiller/gateway/housekeeping.py
+++ b/src/pondtiller/gateway/housekeeping.py
@@ -46,7 +46,7 @@
             parts.leadership.may_campaign = parts.is_ready()
             parts.engines.drop_expired(now)
             parts.cold.log_changes(now)
-            parts.stale_configuration.look()
+            parts.stale_configuration.check()
             await parts.pool.forget(set(parts.engines.engines))
             await curio.sleep(HOUSEKEEPING_SECONDS)
 
--- a/src/pondtiller/gateway/parts.py
+++ b/src/pondtiller/gateway/parts.py
@@ -41,7 +41,7 @@
 from pondtiller.peers.leader_age import leader_age
 from pondtiller.peers.leader_client import LeaderClient
 from pondtiller.peers.share_asker import ShareAsker
-from pondtiller.peers.usage_teller import UsageTeller
+from pondtiller.peers.usage_sender import UsageSender
 from pondtiller.platform import names
 from pondtiller.platform.object_client import MAX_REST_SECONDS, ObjectClient
 from pondtiller.process.stalls import StallWatch
@@ -153,9 +153,9 @@
             self.rates,
             self.topology,
         )
-        self.teller: UsageTeller | None = None
+        self.usage_sender: UsageSender | None = None
         if usage is not None:
-            self.teller = UsageTeller(
+            self.usage_sender = UsageSender(
                 settings.name, meter, self.agreed, self.steps, self.leadership.leader
             )
 
--- a/src/pondtiller/gateway/process.py
+++ b/src/pondtiller/gateway/process.py
@@ -83,8 +83,8 @@
             await group.spawn(keep_running, "leadership", self.leadership.run)
             await group.spawn(keep_running, "housekeeping", self.housekeeping.run)
             await group.spawn(keep_running, "shares", self.shares.run)
-            if self.teller is not None:
-                await group.spawn(keep_running, "use", self.teller.run)
+            if self.usage_sender is not None:
+                await group.spawn(keep_running, "use", self.usage_sender.run)
             if self.metrics_server is not None:
                 await group.spawn(keep_running, "metrics", self.metrics_server.run)
             await self._stopped.wait()
@@ -112,18 +112,18 @@
         self.front.is_closed = True
         while self._has_open_work() and clock.monotonic() < end:
             await curio.sleep(OPEN_CHECK_SECONDS)
-        await self._tell_last_use()
+        await self._send_last_usage()
         await self._stopped.set()
 
     def _has_open_work(self) -> bool:
         """Return whether callers wait, or the outcome of a trial must still be recorded."""
         return bool(self.front.open_exchanges or self.forwarder.trials.unsettled_trials)
 
-    async def _tell_last_use(self) -> None:
+    async def _send_last_usage(self) -> None:
         """Send the counts since the last report; no other process has them."""
         leader = self.leadership.leader()
-        if self.teller is not None and leader is not None:
-            await curio.ignore_after(LAST_USE_SECONDS, self.teller.tell, leader.epoch)
+        if self.usage_sender is not None and leader is not None:
+            await curio.ignore_after(LAST_USE_SECONDS, self.usage_sender.send, leader.epoch)
 
     def reload(self, settings: GatewaySettings) -> None:
         """Apply changed settings; addresses and names stay until the next start."""
--- a/src/pondtiller/gateway/runs/leaderless_runs.py
+++ b/src/pondtiller/gateway/runs/leaderless_runs.py
@@ -97,7 +97,7 @@
         self.runs: dict[str, LeaderlessRun] = {}
         self._subscription = subscription
         self._leader_epoch = leader_epoch
-        self._hears_quorum = has_quorum_contact
+        self._has_quorum_contact = has_quorum_contact
         self._leader_age = leader_age
         self._ask_leader = ask_leader
         self.stalls = stalls or StallWatch(lambda: bool(self.runs))
@@ -184,7 +184,7 @@
             await self._group.spawn(self._offer, lost, choice.reason)
 
     def _next_step(self, lost: LostLeader) -> HoldChoice:
-        return next_step(lost, self._leader_epoch(), self._hears_quorum(), clock.monotonic())
+        return next_step(lost, self._leader_epoch(), self._has_quorum_contact(), clock.monotonic())
 
     def _of(self, lost: LostLeader) -> list[LeaderlessRun]:
         return [each for each in self.runs.values() if each.lost == lost and not each.start_due_at]
--- a/src/pondtiller/gateway/stale_configuration.py
+++ b/src/pondtiller/gateway/stale_configuration.py
@@ -29,7 +29,7 @@
         self._reader = reader
         self._is_stale = False
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Compare the configuration's age with the bound; no-op before the first table."""
         version, age = self._in_force.read()
         is_stale = bool(version) and age > self._within_seconds
--- a/src/pondtiller/gateway/tests/test_held_scorers.py
+++ b/src/pondtiller/gateway/tests/test_held_scorers.py
@@ -134,11 +134,11 @@
         await until_ready(system)
         score = Score(crashes)
         await hold_beside(system, score)
-        is_quarantined_at = clock.monotonic()
+        quarantined_at = clock.monotonic()
         score.are_answered = True
         results = await system.read_all("s1", SAMPLES)
         assert [each["state"] for each in results] == ["succeeded"] * SAMPLES
-        assert clock.monotonic() < is_quarantined_at + STEP_SECONDS
+        assert clock.monotonic() < quarantined_at + STEP_SECONDS
         assert score.crashes == 0
 
     run_system(tmp_path, test, gateways=2)
--- a/src/pondtiller/gateway/tests/test_planned_stop.py
+++ b/src/pondtiller/gateway/tests/test_planned_stop.py
@@ -28,7 +28,7 @@
 ) -> None:
     """Between the last check of open requests and the end, requests were forwarded and cut off."""
     monkeypatch.setattr(processes, "NOT_READY_SECONDS", 0.3)
-    monkeypatch.setattr(GatewayProcess, "_tell_last_use", last_words)
+    monkeypatch.setattr(GatewayProcess, "_send_last_usage", last_words)
     answered: set[str] = set()
 
     async def test(system: System) -> None:
--- a/src/pondtiller/gateway/tests/test_stale_configuration.py
+++ b/src/pondtiller/gateway/tests/test_stale_configuration.py
@@ -41,10 +41,10 @@
     in_force, ages = TableInForce(), iter([9.0, 3.9, 4.1, 5.0, 0.1])
     in_force.age_seconds = lambda: next(ages)
     late = StaleConfigurationLog(in_force, 4.0, lambda: "store")
-    late.look()
+    late.check()
     in_force.table = table()
     for _look in range(4):
-        late.look()
+        late.check()
     told = [(event, fields["age"], fields["reader"]) for event, fields in decisions]
     assert told == [
         ("configuration_stale", 4.1, "store"),
--- a/src/pondtiller/peers/leader_client.py
+++ b/src/pondtiller/peers/leader_client.py
@@ -131,7 +131,7 @@
             return answer
         return SampleBody(status=StepStatus.UNAVAILABLE)
 
-    async def tell_use(self, message: UseTold, seconds: float) -> UseTaken | None:
+    async def send_usage(self, message: UseTold, seconds: float) -> UseTaken | None:
         """Send the leader this gateway's usage counts; None if no leader accepted them."""
         answer = await self._call(message, UseTaken, 0.0, seconds)
         return answer if isinstance(answer, UseTaken) else None
--- a/src/pondtiller/peers/share_asker.py
+++ b/src/pondtiller/peers/share_asker.py
@@ -103,10 +103,10 @@
             if not self._held:
                 await self._wake.wait()
             self._wake.clear()
-            await self.look()
+            await self.check()
             await curio.ignore_after(CHECK_SECONDS, self._wake.wait)
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Request what is due; remove what is idle."""
         now = clock.monotonic()
         due = [each for each in self._held.values() if each.is_due(now)][:MAX_SUBJECTS]
--- a/src/pondtiller/peers/usage_teller.py
+++ b/src/pondtiller/peers/usage_sender.py
@@ -31,7 +31,7 @@
 """Exclusive upper bound of `hashing.score`; scales a score to a part of `SPREAD_SECONDS`."""
 
 
-class UsageTeller:
+class UsageSender:
     """Sends the counts of one gateway.
 
     Parameters
@@ -65,10 +65,10 @@
             await curio.sleep(CHECK_SECONDS)
             leader = self._find_leader()
             now = clock.monotonic()
-            if leader is not None and self._should_tell(leader.epoch, now):
-                await self.tell(leader.epoch)
+            if leader is not None and self._should_send(leader.epoch, now):
+                await self.send(leader.epoch)
 
-    def _should_tell(self, epoch: int, now: float) -> bool:
+    def _should_send(self, epoch: int, now: float) -> bool:
         """Return whether the leader is new, lacks counts, or waits for the end of a window."""
         if now < self._next:
             return False
@@ -79,7 +79,7 @@
         window = window_of(agreed_now - self._delay, self._meter.window_seconds)
         return window > self._window or bool(self._meter.unreported(epoch))
 
-    async def tell(self, epoch: int) -> None:
+    async def send(self, epoch: int) -> None:
         """Send all counts that a leader does not have."""
         now = clock.monotonic()
         agreed_now = self._agreed.now(now)
@@ -95,7 +95,7 @@
             complete_until=complete_until,
             rows=pack_rows(rows) if rows else b"",
         )
-        answer = await self._steps.tell_use(message, CALL_SECONDS)
+        answer = await self._steps.send_usage(message, CALL_SECONDS)
         answered_at = clock.monotonic()
         self._next = answered_at + RETRY_SECONDS
         if answer is None:
--- a/src/pondtiller/replica/process.py
+++ b/src/pondtiller/replica/process.py
@@ -48,10 +48,10 @@
         self.texts = KeptTexts()
         self.replica = self._restore()
         self.store = ObjectClient(to_address(settings.store), HttpClient(MAX_REST_SECONDS))
-        further = {names.SUSPECTS: MIRROR_TIMES}
+        extra_kinds = {names.SUSPECTS: MIRROR_TIMES}
         if settings.evacuation.within:
-            further[names.EVACUATIONS] = MIRROR_TIMES
-        self.server = ReplicaServer(self.replica, self.file, self.texts, self.store, further)
+            extra_kinds[names.EVACUATIONS] = MIRROR_TIMES
+        self.server = ReplicaServer(self.replica, self.file, self.texts, self.store, extra_kinds)
         self._stopped = curio.Event()
         self.metrics_server = (
             MetricsServer(settings.metrics, self.render_metrics) if settings.metrics else None
--- a/src/pondtiller/replica/server.py
+++ b/src/pondtiller/replica/server.py
@@ -61,9 +61,9 @@
         file: LogFile,
         texts: KeptTexts,
         store: StoreReader,
-        further: Mapping[str, FollowTimes] | None = None,
+        extra_kinds: Mapping[str, FollowTimes] | None = None,
     ) -> None:
-        self.mirror = StoreMirror(store, self._expected_followers, further)
+        self.mirror = StoreMirror(store, self._expected_followers, extra_kinds)
         self._replica = replica
         self._texts = texts
         self._file = file
--- a/src/pondtiller/rollouts/run_table.py
+++ b/src/pondtiller/rollouts/run_table.py
@@ -76,7 +76,7 @@
         if self.runs.pop(work.run, None) is None:
             return None
         self._ending[work.run] = work.storage_name
-        self._free_place(work)
+        self._release_slot(work)
         return CancelRun(work.run, work.sample_id, work.engine, reason)
 
     def end(self, run: int, end: RunEnd, now: float) -> SampleWork | None:
@@ -85,7 +85,7 @@
         work = self.runs.pop(run, None)
         if work is None:
             return None
-        engine = self._free_place(work)
+        engine = self._release_slot(work)
         if engine is not None:
             _note_end(engine, end, now)
         return work
@@ -117,10 +117,10 @@
     def abandon(self) -> None:
         """Release all slots: another leader continues the samples."""
         for work in self.runs.values():
-            self._free_place(work)
+            self._release_slot(work)
         self.runs.clear()
 
-    def _free_place(self, work: SampleWork) -> Engine | None:
+    def _release_slot(self, work: SampleWork) -> Engine | None:
         """Release a run's slot; return its engine if it is still known."""
         self._placement.ended(work)
         engine = self._engines.engines.get(work.engine)
--- a/src/pondtiller/rollouts/samples.py
+++ b/src/pondtiller/rollouts/samples.py
@@ -103,7 +103,7 @@
         self._restarts_seen = 0
         self.epoch = 0
         self.may_not_start = False
-        self._next_look = float("-inf")
+        self._next_check = float("-inf")
         self.has_more = False
         self._out: list[Instruction] = []
 
@@ -406,9 +406,9 @@
 
     def _move_slow(self, now: float) -> None:
         """Move runs, the most urgent first; checked at intervals, since it examines all runs."""
-        if now < self._next_look:
+        if now < self._next_check:
             return
-        self._next_look = now + CHECK_SECONDS
+        self._next_check = now + CHECK_SECONDS
         for work in sorted(self.runs.values(), key=lambda each: each.order):
             reason = self._move_reason(work, now) if may_move(work.moves) else None
             if reason is not None:
--- a/src/pondtiller/rollouts/shedding.py
+++ b/src/pondtiller/rollouts/shedding.py
@@ -35,7 +35,7 @@
     ----------
     remaining
         Samples that are not listed yet.
-    is_begun
+    has_started
         Whether any part of it was made.
     position
         Position in its step: a trainer puts those first that it waits for anyway.
@@ -43,7 +43,7 @@
 
     name: str
     remaining: int
-    is_begun: bool
+    has_started: bool
     position: int
 
 
@@ -137,4 +137,4 @@
 
 
 def _completion_order(group: GroupLoad) -> tuple[bool, int, int]:
-    return not group.is_begun, group.remaining, group.position
+    return not group.has_started, group.remaining, group.position
--- a/src/pondtiller/rollouts/step_loads.py
+++ b/src/pondtiller/rollouts/step_loads.py
@@ -22,7 +22,7 @@
     first = works[0]
     sizes = first.step.group_sizes
     left = Counter(work.group for work in works)
-    begun = {work.group for work in works if _is_begun(work)}
+    begun = {work.group for work in works if _has_started(work)}
     groups = tuple(
         GroupLoad(name, left[name], name in begun or left[name] < size, place)
         for place, (name, size) in enumerate(sizes.items())
@@ -39,5 +39,5 @@
     )
 
 
-def _is_begun(work: SampleWork) -> bool:
+def _has_started(work: SampleWork) -> bool:
     return work.stage is not Stage.WAITING or work.text.last_event > 0
--- a/src/pondtiller/rollouts/tests/test_catching_up.py
+++ b/src/pondtiller/rollouts/tests/test_catching_up.py
@@ -95,7 +95,7 @@
     pause.play(2.0)
     assert pause.whole_at["old"] > 0.0
     assert not [
-        key for key in pause.scheduler.work if key[0] == "old" and not _is_begun(pause, key)
+        key for key in pause.scheduler.work if key[0] == "old" and not _has_started(pause, key)
     ]
 
 
@@ -107,6 +107,6 @@
     assert not pause.whole_at
 
 
-def _is_begun(pause: Pause, key: tuple[str, str]) -> bool:
+def _has_started(pause: Pause, key: tuple[str, str]) -> bool:
     work = pause.scheduler.work[key]
     return work.run > 0
--- a/src/pondtiller/rollouts/turns.py
+++ b/src/pondtiller/rollouts/turns.py
@@ -32,13 +32,13 @@
         self.run_times = RunTimes()
         self.turns: dict[GroupKey, int] = {}
         self._placement = placement
-        self._next_look = float("-inf")
+        self._next_update = float("-inf")
 
     def update(self, works: Iterable[SampleWork], now: float, wall_now: float) -> None:
         """Check whether all groups can be complete in time, and which go first if not."""
-        if now < self._next_look:
+        if now < self._next_update:
             return
-        self._next_look = now + RECOMPUTE_SECONDS
+        self._next_update = now + RECOMPUTE_SECONDS
         by_service: dict[str, list[SampleWork]] = {}
         for work in works:
             if work.is_routed:
--- a/src/pondtiller/routes/live_attempts.py
+++ b/src/pondtiller/routes/live_attempts.py
@@ -183,7 +183,7 @@
     return Verdict(NextStep.GIVE_UP, end, ErrorKind.OUTCOME_UNKNOWN)
 
 
-def judge_stream(end: AttemptEnd, may_resume: bool, is_begun: bool) -> Verdict:
+def judge_stream(end: AttemptEnd, may_resume: bool, has_started: bool) -> Verdict:
     """Return what an attempt's outcome means for a stream.
 
     Once the caller has received a part of a stream, another engine's status cannot be returned any
@@ -193,7 +193,7 @@
     ----------
     may_resume
         Whether the route allows another engine to continue the stream.
-    is_begun
+    has_started
         Whether the caller has received a part of it.
     """
     if end in (AttemptEnd.HELD_BACK, AttemptEnd.UNREACHABLE, AttemptEnd.REFUSED):
@@ -202,7 +202,7 @@
         return Verdict(NextStep.OTHER_ENGINE, end)
     if end is AttemptEnd.BROKEN:
         return Verdict(NextStep.GIVE_UP, end, ErrorKind.OUTCOME_UNKNOWN)
-    if is_begun:
+    if has_started:
         return Verdict(NextStep.GIVE_UP, end, ErrorKind.ENGINE_FAILED)
     return Verdict(NextStep.ANSWER, end)
 
--- a/src/pondtiller/routes/tests/test_live_attempts.py
+++ b/src/pondtiller/routes/tests/test_live_attempts.py
@@ -97,12 +97,12 @@
 
 
 def test_a_started_stream_gets_no_other_status() -> None:
-    begun = judge_stream(AttemptEnd.FAILED, may_resume=False, is_begun=True)
+    begun = judge_stream(AttemptEnd.FAILED, may_resume=False, has_started=True)
     assert begun.error is ErrorKind.ENGINE_FAILED
     assert judge_stream(AttemptEnd.FAILED, False, False).step is NextStep.ANSWER
     for end in (AttemptEnd.FAILED, AttemptEnd.BROKEN):
         assert judge_stream(end, True, True).step is NextStep.OTHER_ENGINE
-    broken = judge_stream(AttemptEnd.BROKEN, may_resume=False, is_begun=False)
+    broken = judge_stream(AttemptEnd.BROKEN, may_resume=False, has_started=False)
     assert broken.error is ErrorKind.OUTCOME_UNKNOWN
 
 
--- a/src/pondtiller/store/mirror.py
+++ b/src/pondtiller/store/mirror.py
@@ -108,7 +108,7 @@
     ----------
     expected_followers
         Returns how many gateways are likely to follow this replica.
-    further
+    extra_kinds
         Kinds to follow besides the required ones.
     """
 
@@ -116,12 +116,12 @@
         self,
         store: StoreReader,
         expected_followers: Callable[[], float],
-        further: Mapping[str, FollowTimes] | None = None,
+        extra_kinds: Mapping[str, FollowTimes] | None = None,
     ) -> None:
         self.is_on = False
         self.answers = 0
-        self._further = dict(further or {})
-        self.kinds = {kind: MirroredKind() for kind in (*REQUIRED_KINDS, *self._further)}
+        self._extra_kinds = dict(extra_kinds or {})
+        self.kinds = {kind: MirroredKind() for kind in (*REQUIRED_KINDS, *self._extra_kinds)}
         self._store = store
         self._expected_followers = expected_followers
         self._health = StoreHealth()
@@ -139,7 +139,7 @@
         async def change(_found: StoreChange) -> None:
             await self._wake()
 
-        times = self._further.get(kind)
+        times = self._extra_kinds.get(kind)
         wait = times.wait_seconds if times is not None else WAIT_SECONDS
         return Watch(reader, self._health, kind, replace, change, None, wait)
 
@@ -160,7 +160,7 @@
 
     def _may_answer(self, kind: str) -> bool:
         """Return whether the mirror may answer for a kind; an additional kind is checked alone."""
-        times = self._further.get(kind)
+        times = self._extra_kinds.get(kind)
         if times is None:
             return kind in self.kinds and self.is_fresh()
         age = clock.monotonic() - self._followed[kind].last_answer_at
--- a/src/pondtiller/usage/reports.py
+++ b/src/pondtiller/usage/reports.py
@@ -24,7 +24,7 @@
 """Shortest time from the end of a window until it is closed: clocks differ by less."""
 REPORT_WAIT_SECONDS = 1.5
 """How long a new leader waits for the daemons, which report everything within two rounds of
-`usage_teller.SEND_INTERVAL_SECONDS` and the time to find it."""
+`usage_sender.SEND_INTERVAL_SECONDS` and the time to find it."""
 SEND_MARGIN_SECONDS = 4.0
 """How long before the report's due time a window is closed even if gateways are missing: enough for
 a pause as long as `lease` after another holder, or for a few repeats."""
